--- a/internal/mesh/check.go
+++ b/internal/mesh/check.go
@@ -6,8 +6,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// Check says what is wrong with a configuration, if anything is. One that fails
-// is refused whole: a part of it could send requests where nobody meant them to go.
+// Check returns an error that describes what is wrong with the configuration, or nil. An
+// invalid configuration is rejected as a whole: applying part of it could route requests to
+// unintended services.
 func (c *Config) Check() error {
 	if c.Version == 0 {
 		return eris.New("a configuration needs a version above 0")
@@ -19,7 +20,7 @@
 	}
 	l := c.Limits
 	if l.HeaderBytes < 0 || l.BodyBytes < 0 || l.HeaderTimeout < 0 || l.IdleTimeout < 0 {
-		return eris.New("a limit is below 0")
+		return eris.New("a limit is negative")
 	}
 	return nil
 }
@@ -33,7 +34,7 @@
 	case r.Timeout <= 0:
 		return eris.New("no timeout")
 	case r.Aim < 0, r.MaxTargets < 0, r.Priority < 0:
-		return eris.New("a number is below 0")
+		return eris.New("a latency objective, target limit or priority is negative")
 	case len(r.Shares) == 0:
 		return eris.New("no service")
 	}
@@ -43,7 +44,7 @@
 			return eris.Errorf("service %q isn't declared", s.Service)
 		}
 		if s.Weight < 0 {
-			return eris.New("a weight is below 0")
+			return eris.New("a weight is negative")
 		}
 		total += s.Weight
 	}
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -1,10 +1,10 @@
-// Package mesh holds what a node knows of a deployment whose routes are found by
-// host and path prefix, and whose targets register themselves. All types are
-// immutable once built, except Stat.
+// Package mesh declares the types by which a node describes a deployment: routes that are
+// matched by host and path prefix, and targets that register themselves. All types are
+// immutable once built, except Stat and Splitter.
 //
-// The subpackages act on it: directory builds Views, front speaks to callers,
-// entry chooses targets, peer carries requests between nodes, guard admits them
-// to the backend server beside it, and exchange speaks to that.
+// The subpackages operate on them: directory builds Views, front serves callers' connections,
+// entry chooses targets, peer carries requests between nodes, guard admits them to the backend
+// server beside it, and exchange sends them to that server.
 package mesh
 
 import (
@@ -14,81 +14,82 @@
 	"time"
 )
 
-// Config is one whole version of the operators' configuration.
+// Config is one complete version of the operators' configuration.
 type Config struct {
-	// Version orders configurations; a higher one replaces a lower one.
+	// Version orders configurations; a higher version replaces a lower one.
 	Version  uint64
 	Services map[string]*Service
 	Limits   Limits
-	// hosts finds the routes of a host, those with the longest prefix first.
+	// hosts maps a lower-case host to its routes, longest prefix first.
 	hosts map[string][]*Route
 }
 
-// Service is what operators declare of one service.
+// Service is the configuration of one service.
 type Service struct {
 	Name string
-	// HealthPath is where its targets tell their health and load.
+	// HealthPath is the path at which its targets report their health and load.
 	HealthPath string
-	// MaxConnections is how many connections a target accepts from everybody.
+	// MaxConnections is how many connections a target accepts from all clients together.
 	MaxConnections int
 }
 
-// Limits bound what callers may send. Zero means unbounded.
+// Limits bound the requests and connections of callers. Zero means unbounded.
 type Limits struct {
-	// HeaderBytes and BodyBytes bound one request.
+	// HeaderBytes and BodyBytes bound the size of one request.
 	HeaderBytes, BodyBytes int64
-	// HeaderTimeout is how long a caller may take to send a request's header, and
-	// IdleTimeout how long it may keep a connection without a request.
+	// HeaderTimeout bounds the time for sending a request's header, and IdleTimeout the time
+	// for which a connection may stay open without a request.
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Route says where requests of a host and path prefix go and what holds for them.
+// Route defines which services serve the requests of a host and path prefix, and how.
 type Route struct {
 	Name, Host, Prefix string
 	// Shares are the services that serve the route; most routes have one.
 	Shares []Share
-	// Idempotent requests may run more than once, others at most once.
+	// Idempotent is true if requests may run more than once; others run at most once.
 	Idempotent bool
-	// Timeout is how long a caller is kept waiting at most, and Aim the time
-	// within which an answer is worth most to it.
+	// Timeout is the longest time that a caller waits for an answer. LatencyObjective is the
+	// time within which answers should arrive; a later one is of little use to the caller.
 	Timeout, Aim time.Duration
 	// MaxTargets is how many targets may run one request of a caller.
 	MaxTargets int
-	// Priority ranks routes; 0 goes first.
+	// Priority ranks routes; 0 is the highest priority.
 	Priority int
-	// Weights tells how Shares divide requests; it outlives configurations.
+	// Splitter divides requests among Shares. It is kept when a new Config replaces this one.
 	Weights *Weights
 }
 
-// aimPerWork is how many times the usual work of its requests the aim of a route is taken
-// to be where nothing was measured: operators leave room for a wait and a slow moment.
-const aimPerWork = 3
+// objectivePerServiceTime is the assumed ratio of a route's latency objective to the base
+// service time of its requests while that time is unknown: operators leave room in an
+// objective for queueing and for transient slowdowns.
+const objectivePerServiceTime = 3
 
-// AssumedWork is how long the route's requests are taken to run on an idle target until
-// that has been measured; 0 is not known.
-func (r *Route) AssumedWork() time.Duration { return r.Aim / aimPerWork }
+// AssumedBaseServiceTime returns the base service time to assume for the route's requests
+// until it has been measured, or 0 if it is unknown.
+func (r *Route) AssumedWork() time.Duration { return r.Aim / objectivePerServiceTime }
 
-// Share is a service with its part of a route's requests.
+// Share is a service with the weight of its part of a route's requests.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// NewConfig builds a Config over routes, which it orders.
+// NewConfig returns a Config with the given routes, which it indexes by host and prefix.
 func NewConfig(version uint64, services map[string]*Service, routes []*Route, limits Limits) *Config {
 	c := &Config{Version: version, Services: services, Limits: limits, hosts: map[string][]*Route{}}
 	for _, r := range routes {
 		host := strings.ToLower(r.Host)
 		c.hosts[host] = append(c.hosts[host], r)
 	}
-	for _, rows := range c.hosts {
-		slices.SortStableFunc(rows, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+	for _, list := range c.hosts {
+		slices.SortStableFunc(list, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	return c
 }
 
-// Match finds the route of a request by its host, with or without a port, and
-// the longest prefix of its path. It returns nil if there is none.
+// Match returns the route for a request's host, with or without a port, and the longest
+// matching prefix of its path. It returns nil if there is none.
 func (c *Config) Match(host, path string) *Route {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
@@ -101,11 +102,11 @@
 	return nil
 }
 
-// Routes gives every route, in no particular order.
+// Routes returns all routes, in no particular order.
 func (c *Config) Routes() []*Route {
 	var all []*Route
-	for _, rows := range c.hosts {
-		all = append(all, rows...)
+	for _, list := range c.hosts {
+		all = append(all, list...)
 	}
 	return all
 }
--- a/internal/mesh/config_test.go
+++ b/internal/mesh/config_test.go
@@ -19,25 +19,25 @@
 
 var services = map[string]*mesh.Service{"orders": {Name: "orders"}, "stock": {Name: "stock"}}
 
-func TestTheLongestPrefixOfTheHostRoutes(t *testing.T) {
+func TestMatchPrefersLongestPrefixOfHost(t *testing.T) {
 	c := mesh.NewConfig(1, services, []*mesh.Route{
 		route("all", "Shop.example", "/"), route("orders", "shop.example", "/orders/"),
 		route("deep", "shop.example", "/orders/old/"), route("other", "depot.example", "/"),
 	}, mesh.Limits{})
-	for _, one := range []struct{ host, path, want string }{
+	for _, test := range []struct{ host, path, want string }{
 		{"shop.example", "/orders/7", "orders"},
 		{"shop.example", "/orders/old/7", "deep"},
 		{"SHOP.example:8080", "/orders", "all"},
 		{"shop.example", "/ordersold/", "all"},
 		{"depot.example", "/orders/old/", "other"},
 	} {
-		require.Equal(t, one.want, c.Match(one.host, one.path).Name, "%s%s", one.host, one.path)
+		require.Equal(t, test.want, c.Match(test.host, test.path).Name, "%s%s", test.host, test.path)
 	}
 	require.Nil(t, c.Match("nowhere.example", "/"))
 }
 
-func TestAFaultyConfigurationIsRefusedWhole(t *testing.T) {
-	change := map[string]func(r *mesh.Route){
+func TestCheckRejectsInvalidConfigurations(t *testing.T) {
+	invalidate := map[string]func(r *mesh.Route){
 		"no host":             func(r *mesh.Route) { r.Host = "" },
 		"bare prefix":         func(r *mesh.Route) { r.Prefix = "/orders" },
 		"relative prefix":     func(r *mesh.Route) { r.Prefix = "orders/" },
@@ -50,19 +50,19 @@
 		"weight below zero":   func(r *mesh.Route) { r.Shares = append(r.Shares, mesh.Share{Service: "stock", Weight: -1}) },
 	}
 	require.NoError(t, mesh.NewConfig(1, services, []*mesh.Route{route("a", "h", "/a/")}, mesh.Limits{}).Check())
-	for name, f := range change {
-		bad := route("b", "h", "/b/")
-		f(bad)
-		require.Error(t, mesh.NewConfig(1, services, []*mesh.Route{route("a", "h", "/a/"), bad}, mesh.Limits{}).Check(), name)
+	for name, f := range invalidate {
+		invalid := route("b", "h", "/b/")
+		f(invalid)
+		require.Error(t, mesh.NewConfig(1, services, []*mesh.Route{route("a", "h", "/a/"), invalid}, mesh.Limits{}).Check(), name)
 	}
 	require.Error(t, mesh.NewConfig(0, services, nil, mesh.Limits{}).Check(), "no version")
 	require.Error(t, mesh.NewConfig(1, services, nil, mesh.Limits{BodyBytes: -1}).Check(), "limit below zero")
 }
 
-// An operator moves a tenth of a route to a new service and looks after some
-// hundred requests whether it gets a tenth. Drawn at random it would get 5 to 15
-// in a hundred, over many nodes that each see few requests.
-func TestSharesFollowTheirWeightsClosely(t *testing.T) {
+// Operators who move a tenth of a route to a new service check the split after a few hundred
+// requests. A random draw would send it 5 to 15 in a hundred, as there are many nodes and each
+// sees few requests.
+func TestSplitFollowsWeightsClosely(t *testing.T) {
 	for _, weights := range [][]float64{{90, 10}, {1, 1, 1}, {50, 30, 20}, {1, 0}, {0.3, 0.7}} {
 		shares := make([]mesh.Share, len(weights))
 		total := 0.0
@@ -82,9 +82,9 @@
 	}
 }
 
-// Eighteen nodes each send their first requests of a split. Started alike, they
-// would all send them to the same service.
-func TestNodesStartSplitsAtRandomPlaces(t *testing.T) {
+// Guards against 18 nodes that all send the first requests of a split to the same service
+// because their splitters start in the same state.
+func TestSplittersStartInRandomStates(t *testing.T) {
 	shares := []mesh.Share{{Service: "a", Weight: 50}, {Service: "b", Weight: 50}}
 	first := map[string]int{}
 	for range 200 {
--- a/internal/mesh/forecast.go
+++ b/internal/mesh/forecast.go
@@ -6,54 +6,57 @@
 )
 
 const (
-	// assumedService is how long a slot is held where nothing has been measured.
-	assumedService = 80 * time.Millisecond
-	// coldFactor is how much longer work is taken to last at a target that has just
-	// started and hasn't told how much.
-	coldFactor = 2.0
+	// assumedServiceTime is how long a slot is assumed to be held while no measurement exists.
+	assumedServiceTime = 80 * time.Millisecond
+	// coldStartFactor is the assumed slowdown of a target that has just started and has not
+	// reported its slowdown yet.
+	coldStartFactor = 2.0
 )
 
-// Forecast is what a request is expected to meet at a target. Each thing that delays it is
-// counted once: the queue in Wait; in Work the neighbours, the start from cold, and nothing
-// for the requests beside it, as a guard starts no more than run at full speed.
+// Forecast is the expected delay of a request at a target. Each cause of delay is counted
+// once. Wait covers the queue; ExpectedServiceTime covers interference by neighbours and the
+// slowdown after a start. Contention among concurrent requests adds nothing, as a guard runs
+// no more requests than the backend server handles at full speed.
 type Forecast struct {
 	Estimate
-	// Wait is the time until it gets a slot, and Work how long it then takes.
-	Wait, Work time.Duration
+	// Wait is the expected time in the queue, and ExpectedServiceTime the time in the slot.
+	Wait, ExpectedServiceTime time.Duration
 }
 
-// Forecast tells what to expect of a request, with so much work for a server that has
-// nothing else to do, that is sent to the target now. 0 is work not known.
-func (t *Target) Forecast(work, now time.Duration) Forecast {
-	work = cmp.Or(work, assumedService)
+// Forecast returns the expected delay of a request that is sent to the target now and has the
+// given base service time; 0 means that it is unknown.
+func (t *Target) Forecast(baseServiceTime, now time.Duration) Forecast {
+	baseServiceTime = cmp.Or(baseServiceTime, assumedServiceTime)
 	e := t.Stat.Estimate(now)
 	if now < t.WarmAt && (!e.Known || e.Age > slowdownMemory) {
-		e.Standing = max(e.Standing, coldFactor)
+		e.Standing = max(e.Standing, coldStartFactor)
 		e.Slowdown = max(e.Slowdown, e.Standing)
 	}
-	return Forecast{Estimate: e, Wait: e.wait(t.Slots), Work: work + e.Extra(work)}
+	return Forecast{Estimate: e, Wait: e.wait(t.Slots), ExpectedServiceTime: baseServiceTime + e.SlowdownDelay(baseServiceTime)}
 }
 
-// Extra is how much longer work takes for what slows the target: the work at its present
-// speed, or the wait until that is over, whichever is less.
-func (e Estimate) Extra(work time.Duration) time.Duration {
-	extra := time.Duration(float64(work) * (e.Slowdown - 1))
-	if e.CalmIn > 0 {
-		extra = min(extra, e.CalmIn+time.Duration(float64(work)*(e.Standing-1)))
+// SlowdownDelay returns how much longer than its base service time a request takes because the
+// target is slowed down: either it runs at the present speed throughout, or it runs after the
+// recovery, whichever is shorter.
+func (e Estimate) SlowdownDelay(baseServiceTime time.Duration) time.Duration {
+	delay := time.Duration(float64(baseServiceTime) * (e.Slowdown - 1))
+	if e.RecoversIn > 0 {
+		delay = min(delay, e.RecoversIn+time.Duration(float64(baseServiceTime)*(e.Standing-1)))
 	}
-	return max(extra, 0)
+	return max(delay, 0)
 }
 
-// wait estimates how long a request waits for a slot at a target that declares so many.
-func (e Estimate) wait(declared int) time.Duration {
+// wait estimates the time in the queue of a target with the given declared number of slots,
+// which is used until the target has reported its load.
+func (e Estimate) wait(declaredSlots int) time.Duration {
 	slots := e.Slots
 	if !e.Known {
-		slots = declared
+		slots = declaredSlots
 	}
 	slots = max(slots, 1)
 	ahead := e.Busy + 1 - slots
 	if ahead <= 0 {
 		return 0
 	}
-	return cmp.Or(e.Service, assumedService) * time.Duration(ahead) / time.Duration(slots)
+	return cmp.Or(e.ServiceTime, assumedServiceTime) * time.Duration(ahead) / time.Duration(slots)
 }
--- a/internal/mesh/message.go
+++ b/internal/mesh/message.go
@@ -6,63 +6,66 @@
 	"time"
 )
 
-// Request is one request of a caller, whole, on its way to a backend server.
+// Request is a complete request of a caller on its way to a backend server.
 type Request struct {
 	// ID is the caller's own id of this attempt.
 	ID string
-	// Method, URI and Host are as the caller sent them, byte for byte.
+	// Method, URI and Host are byte for byte as the caller sent them.
 	Method, URI, Host string
-	// Header has no headers of a single connection and none that the system sets.
+	// Header has neither hop-by-hop headers nor headers that the system sets itself.
 	Header http.Header
 	Body   []byte
-	// Caller is the service beside the node that took the request.
+	// Caller is the service beside the node that accepted the request.
 	Caller string
-	// Service and Target are who is to run it.
+	// Service and Target are the service and the target that shall run the request.
 	Service, Target string
 	Idempotent      bool
 	Priority        int
-	// Left is what is left of the caller's time, as of sending.
+	// Remaining is the time until the caller's deadline, as of sending.
 	Left time.Duration
-	// Patience is how long it may wait before it is sent to the backend server.
+	// QueueTimeout is the longest time that the request may wait before it is sent to the
+	// backend server.
 	Patience time.Duration
-	// AimLeft is the time after which the answer loses most of its worth; below 0 it
-	// is late already.
+	// ObjectiveRemaining is the time until the route's latency objective passes, as of
+	// sending; it is negative if the request is late already.
 	AimLeft time.Duration
-	// Work is how long backend servers of the service take for its like with nothing else to
-	// do and no neighbours; 0 is not known to the sender.
+	// BaseServiceTime is how long requests of this route take at the service's backend servers
+	// without queueing and interference; 0 means that the sender does not know it.
 	Work time.Duration
-	// Confirm asks the entry right before the request is sent to the backend server. An
-	// error says that it mustn't be. nil is a request that needn't be confirmed.
+	// Confirm asks the entry whether the request may still run, right before it is sent to the
+	// backend server; an error means that it must not be sent. It is nil if no confirmation is
+	// needed.
 	Confirm func(ctx context.Context) error
 }
 
-// Answer is a whole answer of a backend server.
+// Answer is a complete answer of a backend server.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Work is how long the backend server usually takes for its like with nothing else to
-	// do and no neighbours: without the wait for a slot, and with what slowed it taken out;
-	// 0 is not known.
+	// BaseServiceTime is how long requests of this route usually take at the backend server
+	// without queueing and interference: the time in the queue is not included, and slowdowns
+	// are factored out. 0 means unknown.
 	Work time.Duration
 }
 
-// Load is how busy a backend server is, as the guard beside it counts.
+// Load is the load of a backend server, as counted by the guard beside it.
 type Load struct {
-	// Running and Waiting count requests, without those that wait and are late
-	// already, as these go last; Slots is how many the guard lets run.
+	// Running and Waiting count requests. Waiting excludes requests that are late already, as
+	// these run last. Slots is how many requests the guard runs at once.
 	Running, Waiting, Slots int
-	// Service is how long a slot is held on average.
-	Service time.Duration
-	// Slowdown is how many times as long as usual work takes at the moment, and Standing
-	// what of it is expected to stay, as of a start from cold; 0 is none.
+	// ServiceTime is the average time for which a slot is held.
+	Service time.Duration `json:"Service"`
+	// Slowdown is the present ratio of service time to base service time. Standing is the part
+	// of it that is expected to be sustained, as after a cold start. 0 means no slowdown.
 	Slowdown, Standing float64
-	// CalmIn is when the slowdown is expected to be down to Standing; 0 says that it is.
-	CalmIn time.Duration
-	// Leaving says that the guard takes no new requests.
+	// RecoversIn is the time until the slowdown is expected to be down to Standing; 0 means
+	// that it is down already.
+	CalmIn time.Duration `json:"CalmIn"`
+	// Leaving is true if the guard accepts no new requests.
 	Leaving bool
-	// Revision is the newest store revision that the node has seen.
+	// Revision is the latest store revision that the node has seen.
 	Revision uint64
-	// Reading says that the node reads the store itself, and that it answers.
-	Reading bool
+	// ReadsStore is true if the node reads the store itself and the store answers.
+	Reading bool `json:"Reading"`
 }
--- a/internal/mesh/names.go
+++ b/internal/mesh/names.go
@@ -1,43 +1,43 @@
 package mesh
 
-// HeaderNames are the names that a platform gives to the headers that callers,
-// nodes and backend servers exchange.
+// HeaderNames are a platform's names of the headers that callers, nodes and backend servers
+// exchange.
 type HeaderNames struct {
 	// RequestID is the caller's id of one attempt; answers echo it.
 	RequestID string
 	// TimeoutMs is how many milliseconds the sender waits for the answer.
 	TimeoutMs string
-	// Signature proves that a backend server made the answer.
+	// Signature proves that a backend server produced the answer.
 	Signature string
-	// ExpectedTarget is the id of the target that is meant; another one refuses.
+	// ExpectedTarget is the id of the intended target; any other target refuses the request.
 	ExpectedTarget string
 	// Load is a backend server's load.
 	Load string
 	// NotRun marks an answer to a request that the backend server didn't run.
 	NotRun string
-	// Caller is the service that a request comes from.
+	// Caller is the service that sent the request.
 	Caller string
 	// Target is a backend server's own id in answers to health checks.
 	Target string
 }
 
-// Dialect is what a platform's callers and backend servers speak on top of HTTP.
+// Dialect is a platform's protocol on top of HTTP, as spoken by callers and backend servers.
 type Dialect struct {
 	Headers HeaderNames
-	// ParseLoad reads the value of the Load header.
+	// ParseLoad parses the value of the Load header.
 	ParseLoad func(value string) (BackendLoad, bool)
-	// Status gives the status of an answer that the system makes, by the kind's
-	// own status and whether it is certain that the request has not run.
+	// Status returns the status code of an answer that the system itself generates, given the
+	// kind's default status and whether the request certainly has not run.
 	Status func(status int, notRun bool) int
-	// RetryAfter formats how long a caller should wait, in seconds.
+	// RetryAfter formats the time after which a caller should retry, in seconds.
 	RetryAfter func(seconds float64) string
 }
 
-// BackendLoad is what a backend server says of its own load.
+// BackendLoad is the load that a backend server reports.
 type BackendLoad struct {
 	// Running and Waiting count its requests; Slots is how many run at once.
 	Running, Waiting, Slots int
-	// Slowdown is how many times as long as usual work takes at the moment; 0 is
-	// not told.
+	// Slowdown is the present ratio of service time to base service time; 0 means that it is
+	// not reported.
 	Slowdown float64
 }
--- a/internal/mesh/stat.go
+++ b/internal/mesh/stat.go
@@ -7,63 +7,64 @@
 )
 
 const (
-	// failWeight is the inverse weight of a new outcome in the moving average of
-	// failures: a target that fails half of its requests shows after three or four.
-	failWeight = 4
-	// forgetFailures is the time constant in which failures without newer evidence
-	// fade, so that a target which was bad is tried again.
-	forgetFailures = 3 * time.Second
-	// slowdownMemory is the time constant in which a lasting slowdown is forgotten
-	// without newer reports.
+	// failureWeight is the inverse weight of a new outcome in the moving average of failures:
+	// a target that fails half of its requests is recognised after three or four.
+	failureWeight = 4
+	// failureMemory is the time constant with which the failure rate decays without new
+	// outcomes, so that a target that failed is tried again.
+	failureMemory = 3 * time.Second
+	// slowdownMemory is the time constant with which a sustained slowdown decays without new
+	// reports.
 	slowdownMemory = time.Second
 )
 
-// Stat is what a node knows of a target from traffic. It outlives Views. Safe
-// for concurrent use.
+// Stat holds what a node knows of a target from load reports and its own requests. It is kept
+// when a new View is built. Safe for concurrent use.
 type Stat struct {
 	mu sync.Mutex
-	// load is the last report, at loadAt; sent counts the node's own requests that
-	// were sent to the target since.
-	load     Load
-	loadAt   time.Duration
-	reported bool
-	sent     int
-	inFlight int
-	failing  float64
-	failedAt time.Duration
-	// avoidUntil is until when the target is passed over.
+	// load is the last report, received at reportedAt; sent counts the node's own requests
+	// that were sent to the target since then.
+	load          Load
+	reportedAt    time.Duration
+	reported      bool
+	sent          int
+	inFlight      int
+	failureRate   float64
+	failureRateAt time.Duration
+	// avoidUntil is the time until which no requests should go to the target.
 	avoidUntil time.Duration
-	// answered is when the target last answered anything.
-	answered time.Duration
+	// lastSuccess is the time of the target's last successful answer.
+	lastSuccess time.Duration
 }
 
-// Estimate is what a node expects of a target.
+// Estimate is the expected state of a target.
 type Estimate struct {
-	// Known says that there was a report; Age is how old it is.
+	// Known is true if the target has reported its load; Age is the age of the last report.
 	Known bool
 	Age   time.Duration
-	// Busy is how many requests run or wait there, Slots how many run at once.
+	// Busy is how many requests run or wait at the target, Slots how many run at once.
 	Busy, Slots int
-	// Service is how long a slot is held.
-	Service time.Duration
-	// Slowdown is the expected slowdown, by report and age, and Standing what of it is
-	// expected to be left after CalmIn.
+	// ServiceTime is the average time for which a slot is held.
+	ServiceTime time.Duration `json:"Service"`
+	// Slowdown is the expected slowdown, from the last report and its age. Standing is the
+	// part that is expected to be sustained after RecoversIn.
 	Slowdown, Standing float64
-	CalmIn             time.Duration
-	// Failing is the share of requests that fail, faded by age.
-	Failing float64
-	// Avoid says that the target is to be passed over, Leaving that it told so.
+	RecoversIn         time.Duration `json:"CalmIn"`
+	// FailureRate is the share of requests that fail, decayed by age.
+	FailureRate float64 `json:"Failing"`
+	// Avoid is true if no requests should go to the target for the time being, Leaving if the
+	// target reported that it accepts no new ones.
 	Avoid, Leaving bool
 }
 
-// Report keeps what the target's guard told.
+// Report records a load report of the target's guard.
 func (s *Stat) Report(l Load, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.load, s.loadAt, s.reported, s.sent = l, now, true, 0
+	s.load, s.reportedAt, s.reported, s.sent = l, now, true, 0
 }
 
-// Begin counts a request on its way.
+// Begin counts a request that is about to be sent to the target.
 func (s *Stat) Begin() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,75 +72,76 @@
 	s.sent++
 }
 
-// End takes the outcome of one: whether it counts as a failure of the target,
-// if it says anything about it.
-func (s *Stat) End(now time.Duration, failed, telling bool) {
+// End records the end of a request counted by Begin. failed is true if it counts as a failure
+// of the target; the outcome is ignored if conclusive is false, as it then doesn't show
+// whether the target works.
+func (s *Stat) End(now time.Duration, failed, conclusive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
 	if s.sent > 0 {
 		s.sent--
 	}
-	if !telling {
+	if !conclusive {
 		return
 	}
 	sample := 0.0
 	if failed {
 		sample = 1
 	}
-	s.failing = s.faded(now)
-	s.failing += (sample - s.failing) / failWeight
-	s.failedAt = now
+	s.failureRate = s.decayedFailureRate(now)
+	s.failureRate += (sample - s.failureRate) / failureWeight
+	s.failureRateAt = now
 	if !failed {
-		s.answered = now
+		s.lastSuccess = now
 	}
 }
 
-// Avoid passes the target over until a time since the node's start.
+// Avoid marks the target as to be avoided until the given time since the node's start.
 func (s *Stat) Avoid(until time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.avoidUntil = max(s.avoidUntil, until)
 }
 
-// InFlight gives the node's own requests at the target.
+// InFlight returns the number of the node's own requests at the target.
 func (s *Stat) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inFlight
 }
 
-// faded gives the failures with their age taken off. The mutex is held.
-func (s *Stat) faded(now time.Duration) float64 {
-	return s.failing * fade(now-s.failedAt, forgetFailures)
+// decayedFailureRate returns the failure rate, decayed by its age. The mutex must be held.
+func (s *Stat) decayedFailureRate(now time.Duration) float64 {
+	return s.failureRate * decay(now-s.failureRateAt, failureMemory)
 }
 
-// fade gives what is left of a value after some time.
-func fade(age, constant time.Duration) float64 {
+// decay returns the fraction of a value that remains after age, by exponential decay.
+func decay(age, constant time.Duration) float64 {
 	return math.Exp(-float64(max(age, 0)) / float64(constant))
 }
 
-// Estimate tells what to expect at now.
+// Estimate returns the expected state of the target at now.
 func (s *Stat) Estimate(now time.Duration) Estimate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := Estimate{
-		Known: s.reported, Age: now - s.loadAt, Slowdown: 1, Standing: 1, Busy: s.inFlight,
-		Failing: s.faded(now), Avoid: now < s.avoidUntil,
+		Known: s.reported, Age: now - s.reportedAt, Slowdown: 1, Standing: 1, Busy: s.inFlight,
+		FailureRate: s.decayedFailureRate(now), Avoid: now < s.avoidUntil,
 	}
 	if !s.reported {
 		return e
 	}
-	e.Slots, e.Service, e.Leaving = s.load.Slots, s.load.Service, s.load.Leaving
+	e.Slots, e.ServiceTime, e.Leaving = s.load.Slots, s.load.Service, s.load.Leaving
 	e.Busy = max(s.load.Running+s.load.Waiting+s.sent, s.inFlight)
-	standing := max(s.load.Standing, 1)
+	sustained := max(s.load.Standing, 1)
 	if s.load.CalmIn == 0 {
-		standing = max(s.load.Slowdown, 1)
+		sustained = max(s.load.Slowdown, 1)
 	}
-	e.Standing = 1 + (standing-1)*fade(e.Age, slowdownMemory)
+	e.Standing = 1 + (sustained-1)*decay(e.Age, slowdownMemory)
 	e.Slowdown = e.Standing
 	if s.load.CalmIn > e.Age {
-		e.Slowdown, e.CalmIn = max(s.load.Slowdown, e.Standing), s.load.CalmIn-e.Age
+		e.Slowdown, e.RecoversIn = max(s.load.Slowdown, e.Standing), s.load.CalmIn-e.Age
 	}
 	return e
 }
--- a/internal/mesh/target.go
+++ b/internal/mesh/target.go
@@ -6,61 +6,62 @@
 	"github.com/limpetdock/limpetdock/internal/place"
 )
 
-// TargetState is what a target says of itself.
+// TargetState is the state that a target reports about itself.
 type TargetState uint8
 
-// The states.
+// States of a target.
 const (
-	// Ready takes requests.
+	// Ready means that the target accepts requests.
 	Ready TargetState = iota
-	// Draining finishes what it has and takes no more.
+	// Draining means that the target completes its requests and accepts no new ones.
 	Draining
 )
 
-// Target is one backend server as it registered itself.
+// Target is one registered backend server.
 type Target struct {
-	// ID names one incarnation, or, if the server keeps it over restarts, the server.
+	// ID identifies one incarnation of the server, or the server itself if it keeps its id
+	// over restarts.
 	ID      string
 	Service string
-	// Addr is the backend server's own address, which only its VM reaches, and
-	// Peer that of the node beside it.
+	// Addr is the address of the backend server, reachable only from its own VM. Peer is the
+	// address of the node beside it.
 	Addr, Peer string
 	Zone       string
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the target runs at once.
 	Slots int
 	State TargetState
-	// WarmAt is when it is no longer slow from its start.
+	// WarmAt is when the slowdown after its start ends.
 	WarmAt   time.Duration
 	Distance place.Distance
 	Stat     *Stat
 }
 
-// Place says where a node stands.
+// Place is the location of a node.
 type Place struct {
 	VM, IP, Zone, Region string
-	// Service is the service of the backend server beside it.
+	// Service is the service of the backend server beside the node.
 	Service string
 }
 
-// DistanceTo tells how far a target stands from p.
+// DistanceTo returns the distance from p to a target with the given address and location.
 func (p Place) DistanceTo(ip, zone, region string) place.Distance {
 	return place.Between(ip == p.IP, zone == p.Zone, region == p.Region)
 }
 
-// View is what traffic goroutines know of the deployment. It is immutable.
+// View is an immutable snapshot of the deployment, as used to handle requests.
 type View struct {
 	Config *Config
-	// Revision is the store's revision that the View was built from.
+	// Revision is the store revision from which the View was built.
 	Revision uint64
 	// Targets are the usable targets of each service, nearest first.
 	Targets map[string][]*Target
-	// Own is the target beside the node, or nil while it isn't registered.
+	// LocalTarget is the target beside the node, or nil while it isn't registered.
 	Own *Target
-	// Peers are all other nodes, by the address at which they take requests of nodes.
+	// Peers are all other nodes, by the address at which they accept requests from nodes.
 	Peers map[string]Peer
 }
 
-// Peer says where another node stands.
+// Peer is the location of another node.
 type Peer struct {
 	Zone     string
 	Distance place.Distance
--- a/internal/mesh/weights.go
+++ b/internal/mesh/weights.go
@@ -5,17 +5,16 @@
 	"sync"
 )
 
-// Weights divides the requests of one route among its shares, by smooth weighted
-// round robin: a random draw would stray from the weights by several percent
-// over the few hundred requests by which operators judge a split. Nodes start at
-// random places, or all of them would send their first requests the same way.
-// Safe for concurrent use.
+// Splitter divides the requests of one route among its shares by smooth weighted round robin.
+// A random draw would deviate from the weights by several percent over the few hundred
+// requests by which operators judge a split. Splitters start in random states, as otherwise
+// all nodes would send their first requests to the same service. Safe for concurrent use.
 type Weights struct {
 	mu     sync.Mutex
 	credit []float64
 }
 
-// Next gives the service of the next request.
+// Next returns the service for the next request.
 func (w *Weights) Next(shares []Share) string {
 	if len(shares) == 1 {
 		return shares[0].Service
@@ -27,7 +26,7 @@
 		total += s.Weight
 	}
 	if len(w.credit) != len(shares) {
-		w.start(shares)
+		w.randomize(shares)
 	}
 	best := 0
 	for i, s := range shares {
@@ -40,8 +39,9 @@
 	return shares[best].Service
 }
 
-// start gives every share a random part of its weight. The mutex is held.
-func (w *Weights) start(shares []Share) {
+// randomize sets the credit of each share to a random part of its weight. The mutex must be
+// held.
+func (w *Weights) randomize(shares []Share) {
 	w.credit = make([]float64, len(shares))
 	for i, s := range shares {
 		w.credit[i] = rand.Float64() * s.Weight
