--- a/internal/crowd/crowd.go
+++ b/internal/crowd/crowd.go
@@ -1,6 +1,6 @@
-// Package crowd learns how a backend server slows down with the number of requests that
-// it runs at once, and from that how many it should run. It is pure: it knows no clock
-// and decides nothing by time.
+// Package crowd learns how a backend server slows down as the number of requests that it runs
+// at once grows, and derives how many it should run. It uses no clock: all decisions depend on
+// samples only.
 package crowd
 
 import (
@@ -9,96 +9,97 @@
 )
 
 const (
-	// window is how many of the last requests count.
-	window = 256
-	// priorWeight is the weight, in requests, of the assumption that a level is as fast
-	// as the one below. A single slow request could have many reasons.
+	// windowSize is how many of the latest requests count.
+	windowSize = 256
+	// priorWeight is the weight, in requests, of the assumption that a level is as fast as the
+	// level below, as a single slow request can have many causes.
 	priorWeight = 2.0
-	// toldWeight is the weight, in requests of each class, of what others say that the
-	// class takes. It decides while nothing was seen at low levels.
-	toldWeight = 8.0
-	// leastWork is the work from which its length says anything about the backend
-	// server: what takes a few milliseconds is mostly connections and the node itself.
-	leastWork = 5 * time.Millisecond
-	// startShare is the part of the slots that is used before anything was measured.
-	startShare = 2 / 3.0
-	// downAfter is how many requests at the best level there must be before fewer are
-	// tried, and downUntil how many end that trial.
-	downAfter, downUntil = 12, 3
+	// reportedWeight is the weight, in requests of each class, of the base service time that
+	// other nodes report. It dominates while there are no samples at low levels.
+	reportedWeight = 8.0
+	// minBaseTime is the base service time below which requests show nothing about the backend
+	// server: what takes a few milliseconds is mostly the connection and the node itself.
+	minBaseTime = 5 * time.Millisecond
+	// initialShare is the share of the slots that is used before anything has been measured.
+	initialShare = 2 / 3.0
+	// lowerAfter is how many requests at the best level are needed before a lower level is
+	// tried, and lowerSamples how many samples end that trial.
+	lowerAfter, lowerSamples = 12, 3
 )
 
-// Curve is what was learnt of one backend server: the work of each class of requests, and
-// how many times as long it takes at each level, that is with so many requests running
-// at once. It fits the logarithm of the time taken as the sum of the two over the last
-// requests. Its zero value has no slots. Not safe for concurrent use.
+// Curve is what has been learnt about one backend server: the base service time of each class
+// of requests, and the contention factor of each concurrency level, that is the ratio by which
+// requests take longer with that many running at once. It models the logarithm of a service
+// time as the sum of the logarithms of the two, fitted to the latest requests. The zero value
+// has no slots. Not safe for concurrent use.
 type Curve struct {
 	levels  []level
 	classes map[string]*class
-	// last are the requests of the window, next where the next one goes.
-	last []request
-	next int
-	// best is the level with the most throughput, trial the highest that may be tried,
-	// and down one below the best that is tried; 0 is none.
-	best, trial, down int
+	// samples is a ring buffer of the latest requests, next the index of the oldest.
+	samples []request
+	next    int
+	// best is the level with the highest throughput, trial the highest level that may be
+	// tried, and lower a level below best that is being tried; 0 means none.
+	best, trial, lower int
 	// blocks is scratch space of smooth.
 	blocks []block
 }
 
-// request is one of the window.
+// request is one sample in the window.
 type request struct {
 	class *class
 	level int
-	// took is the logarithm of the time taken, in nanoseconds.
-	took float64
-	// rounds is how often it was kept when its turn to leave the window came.
-	rounds int
+	// logTime is the logarithm of the service time in nanoseconds.
+	logTime float64
+	// kept counts how often it stayed in the window when it was due to be replaced.
+	kept int
 }
 
-// class is a kind of request.
+// class is a group of requests with similar service times.
 type class struct {
 	name  string
 	count int
-	// work is the logarithm of the time taken alone, told that of what others say; 0 is
-	// not known.
-	work, told float64
-	sum        float64
+	// base is the logarithm of the fitted base service time, and reported that of the time
+	// which other nodes report; 0 means unknown.
+	base, reported float64
+	sum            float64
 }
 
-// level is what was measured with a number of requests running at once.
+// level is what was measured at one concurrency level.
 type level struct {
 	count int
 	sum   float64
-	// fitted is the logarithm of how many times as long a request takes as at the lowest
-	// level, and measured the same without the assumption of priorWeight.
+	// fitted is the logarithm of the contention factor relative to the lowest level. measured
+	// is the same without the assumption of priorWeight.
 	fitted, measured float64
 }
 
-// New returns a Curve of a server that runs up to so many requests at once.
+// New returns a Curve of a server that runs at most slots requests at once.
 func New(slots int) *Curve {
 	c := &Curve{levels: make([]level, max(slots, 0)), classes: map[string]*class{}}
 	c.choose()
 	return c
 }
 
-// Limit gives how many requests the server should run at once.
+// Limit returns how many requests the server should run at once.
 func (c *Curve) Limit() int {
-	if c.down > 0 {
-		return c.down
+	if c.lower > 0 {
+		return c.lower
 	}
 	return c.best
 }
 
-// Trial gives the number of requests, Limit or more, up to which some may be started to
-// learn how the server takes them: Trial-Limit of them at a time.
+// TrialLimit returns the number of requests, Limit or more, up to which some may be started to
+// measure higher concurrency: at most TrialLimit-Limit of them at a time.
 func (c *Curve) Trial() int {
-	if c.down > 0 {
-		return c.down
+	if c.lower > 0 {
+		return c.lower
 	}
 	return c.trial
 }
 
-// Factor gives how many times as long as alone a request takes that is started as the
-// n-th at the same time.
+// ContentionFactor returns the ratio of service time to base service time of a request that is
+// started as the n-th concurrent one.
 func (c *Curve) Factor(n int) float64 {
 	if len(c.levels) == 0 {
 		return 1
@@ -106,91 +107,94 @@
 	return math.Exp(c.levels[min(max(n, 1), len(c.levels))-1].fitted)
 }
 
-// Work gives how long a request of a class takes alone; 0 is not known.
+// BaseServiceTime returns how long a request of a class takes without contention; 0 means
+// unknown.
 func (c *Curve) Work(name string) time.Duration {
-	one := c.classes[name]
-	if one == nil || one.count == 0 {
+	cls := c.classes[name]
+	if cls == nil || cls.count == 0 {
 		return 0
 	}
-	return time.Duration(math.Exp(one.work))
+	return time.Duration(math.Exp(cls.base))
 }
 
-// Sample is how long one request took.
+// Sample is the measured service time of one request.
 type Sample struct {
-	// Class names the requests that take alike.
+	// Class identifies requests with similar service times.
 	Class string
-	// Level is how many ran when it was started, itself counted.
+	// Level is how many requests ran when it was started, including itself.
 	Level int
-	// Took is the time taken, without what slowed the server otherwise.
+	// ServiceTime excludes slowdowns that have other causes than contention.
 	Took time.Duration
-	// Told is what others say that the class takes alone; 0 is not known.
+	// ReportedBaseTime is the base service time of the class that other nodes report; 0 means
+	// unknown.
 	Told time.Duration
-	// AtLeast says that the request was broken off after Took.
+	// Aborted is true if the request was cut off, so that ServiceTime is only a lower bound.
 	AtLeast bool
 }
 
-// Learn takes a request that was served or broken off.
+// Learn adds the sample of a request that was served or cut off.
 func (c *Curve) Learn(s Sample) {
 	if s.Level < 1 || s.Level > len(c.levels) || s.Took <= 0 {
 		return
 	}
-	one := c.classes[s.Class]
-	if one == nil {
-		one = &class{name: s.Class}
-		c.classes[s.Class] = one
+	cls := c.classes[s.Class]
+	if cls == nil {
+		cls = &class{name: s.Class}
+		c.classes[s.Class] = cls
 	}
-	if s.Told >= leastWork {
-		one.told = math.Log(float64(s.Told))
+	if s.Told >= minBaseTime {
+		cls.reported = math.Log(float64(s.Told))
 	}
-	took := math.Log(float64(s.Took))
-	if s.AtLeast && took < one.expected()+c.levels[s.Level-1].fitted {
-		// That it took longer than this was to be expected.
+	logTime := math.Log(float64(s.Took))
+	if s.AtLeast && logTime < cls.expected()+c.levels[s.Level-1].fitted {
+		// A lower bound below the expected time carries no information.
 		return
 	}
-	c.push(request{class: one, level: s.Level, took: took})
+	c.push(request{class: cls, level: s.Level, logTime: logTime})
 	c.fit()
 }
 
-// expected gives the logarithm of the time that a request of the class takes alone; 0 is
-// not known.
-func (l *class) expected() float64 {
-	if l.work == 0 {
-		return l.told
+// expected returns the logarithm of the base service time to expect for the class; 0 means
+// unknown.
+func (c *class) expected() float64 {
+	if c.base == 0 {
+		return c.reported
 	}
-	return l.work
+	return c.base
 }
 
-// push puts a request into the window, in place of the oldest.
+// push adds a request to the window, in place of the oldest if the window is full.
 func (c *Curve) push(r request) {
 	r.class.count++
-	if len(c.last) < window {
-		c.last = append(c.last, r)
+	if len(c.samples) < windowSize {
+		c.samples = append(c.samples, r)
 		return
 	}
-	for c.rare(&c.last[c.next]) {
-		c.next = (c.next + 1) % window
+	for c.keepRare(&c.samples[c.next]) {
+		c.next = (c.next + 1) % windowSize
 	}
-	old := &c.last[c.next]
+	old := &c.samples[c.next]
 	if old.class.count--; old.class.count == 0 {
 		delete(c.classes, old.class.name)
 	}
 	*old = r
-	c.next = (c.next + 1) % window
+	c.next = (c.next + 1) % windowSize
 }
 
 const (
-	// rareCount is the number of requests up to which a level counts as seldom run, and
-	// rareRounds how many more windows those are kept for.
+	// rareCount is the number of requests in the window up to which a level counts as rarely
+	// used, and rareRounds how many more windows its requests are kept for.
 	rareCount, rareRounds = 3, 4
 )
 
-// rare says whether a request is to stay in the window for its level, which is seldom run.
-// A level that was found to be bad would else be tried again with each window, at the cost
-// of the requests that it makes slow.
-func (c *Curve) rare(r *request) bool {
-	if r.rounds >= rareRounds || c.levels[r.level-1].count > rareCount {
+// keepRare reports whether a request stays in the window because its level is rarely used, and
+// counts how often it did.
+// Without this, a level that was found to be slow would be tried again in every window, which
+// slows down the requests of each trial.
+func (c *Curve) keepRare(r *request) bool {
+	if r.kept >= rareRounds || c.levels[r.level-1].count > rareCount {
 		return false
 	}
-	r.rounds++
+	r.kept++
 	return true
 }
--- a/internal/crowd/crowd_test.go
+++ b/internal/crowd/crowd_test.go
@@ -13,12 +13,12 @@
 	"github.com/limpetdock/limpetdock/internal/crowd"
 )
 
-// server is a backend server that is slower from some number of requests on.
+// server simulates a backend server that slows down beyond some number of requests.
 type server struct {
-	slots int
-	knee  int
-	times float64
-	// slope is added for each request over the knee.
+	slots      int
+	knee       int
+	kneeFactor float64
+	// slope is added to the contention factor for each further request beyond the knee.
 	slope float64
 }
 
@@ -26,10 +26,10 @@
 	if n <= s.knee {
 		return 1
 	}
-	return s.times + s.slope*float64(n-s.knee-1)
+	return s.kneeFactor + s.slope*float64(n-s.knee-1)
 }
 
-// best is the number of requests with the most throughput.
+// best returns the number of requests with the highest throughput.
 func (s server) best() int {
 	best := 1
 	for n := 1; n <= s.slots; n++ {
@@ -40,26 +40,27 @@
 	return best
 }
 
-// spread is the deviation of the logarithm of what requests of one kind take.
+// spread is the standard deviation of the logarithm of the service times of one class.
 const spread = 0.3
 
-// classes have mean works of 50, 200 and 400 ms.
-var works = []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond}
+// baseTimes are the mean base service times of three classes: 50, 200 and 400 ms.
+var baseTimes = []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond}
 
-// sample draws a request of any class that takes so many times as long as alone.
-func sample(rnd *rand.Rand, n int, times float64) crowd.Sample {
-	i := rnd.IntN(len(works))
-	took := float64(works[i]) * times * math.Exp(spread*rnd.NormFloat64())
-	return crowd.Sample{Class: strconv.Itoa(i), Level: n, Took: time.Duration(took)}
+// sample draws a request of a random class at level n with the given contention factor.
+func sample(rnd *rand.Rand, n int, factor float64) crowd.Sample {
+	i := rnd.IntN(len(baseTimes))
+	serviceTime := float64(baseTimes[i]) * factor * math.Exp(spread*rnd.NormFloat64())
+	return crowd.Sample{Class: strconv.Itoa(i), Level: n, Took: time.Duration(serviceTime)}
 }
 
-// exactly is a request of one class that takes so many times as long as others say.
-func exactly(n int, times float64) crowd.Sample {
-	return crowd.Sample{Class: "a", Level: n, Took: time.Duration(times * float64(works[1])), Told: works[1]}
+// exactSample returns a request of one class at level n that takes exactly factor times the
+// reported base service time.
+func exactSample(n int, factor float64) crowd.Sample {
+	return crowd.Sample{Class: "a", Level: n, Took: time.Duration(factor * float64(baseTimes[1])), Told: baseTimes[1]}
 }
 
-// drive sends a curve so many requests, each started at a level drawn up to what the
-// curve allows, and gives the throughput reached relative to the best.
+// drive feeds the curve with requests at random levels up to what the curve allows, and
+// returns the throughput reached, relative to the best possible.
 func drive(c *crowd.Curve, s server, rnd *rand.Rand, requests int) float64 {
 	reached := 0.0
 	for range requests {
@@ -73,20 +74,20 @@
 	return reached / float64(requests) / (float64(s.best()) / s.factor(s.best()))
 }
 
-// Backend servers differ in where they slow down and how much. Whatever the knee, after
-// some hundred requests the limit gives nearly the throughput of the best fixed one.
-func TestAnyKneeIsFound(t *testing.T) {
+// Backend servers differ in where and how much they slow down. After a few hundred requests
+// the limit must yield nearly the throughput of the best fixed limit, wherever the knee is.
+func TestLimitNearBestForAnyKnee(t *testing.T) {
 	for name, s := range map[string]server{
-		"none":             {slots: 9, knee: 9, times: 1},
-		"late and mild":    {slots: 9, knee: 7, times: 1.7},
-		"early and hard":   {slots: 9, knee: 4, times: 3},
-		"very early":       {slots: 9, knee: 2, times: 4},
-		"early and mild":   {slots: 9, knee: 4, times: 1.7},
-		"few slots":        {slots: 3, knee: 2, times: 2},
-		"one slot":         {slots: 1, knee: 1, times: 1},
-		"many slots":       {slots: 30, knee: 15, times: 3},
-		"many slots, none": {slots: 30, knee: 30, times: 1},
-		"a slope":          {slots: 30, knee: 10, times: 1.2, slope: 0.3},
+		"none":             {slots: 9, knee: 9, kneeFactor: 1},
+		"late and mild":    {slots: 9, knee: 7, kneeFactor: 1.7},
+		"early and hard":   {slots: 9, knee: 4, kneeFactor: 3},
+		"very early":       {slots: 9, knee: 2, kneeFactor: 4},
+		"early and mild":   {slots: 9, knee: 4, kneeFactor: 1.7},
+		"few slots":        {slots: 3, knee: 2, kneeFactor: 2},
+		"one slot":         {slots: 1, knee: 1, kneeFactor: 1},
+		"many slots":       {slots: 30, knee: 15, kneeFactor: 3},
+		"many slots, none": {slots: 30, knee: 30, kneeFactor: 1},
+		"a slope":          {slots: 30, knee: 10, kneeFactor: 1.2, slope: 0.3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			worst := 1.0
@@ -102,12 +103,12 @@
 	}
 }
 
-// A server gets a smaller machine while its node runs, and later its old one back. The
-// limit follows down, and up again.
-func TestTheLimitFollowsBothWays(t *testing.T) {
+// A server is moved to a smaller machine while its node runs, and later back to the former
+// one. The limit must go down and up again.
+func TestLimitFollowsServerDownAndUp(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 3))
 	c := crowd.New(9)
-	late, early := server{slots: 9, knee: 7, times: 1.7}, server{slots: 9, knee: 4, times: 3}
+	late, early := server{slots: 9, knee: 7, kneeFactor: 1.7}, server{slots: 9, knee: 4, kneeFactor: 3}
 	drive(c, late, rnd, 300)
 	require.Equal(t, 7, c.Limit())
 	drive(c, early, rnd, 400)
@@ -116,12 +117,12 @@
 	require.GreaterOrEqual(t, c.Limit(), 6)
 }
 
-// A server turns slow as a whole, by something that it doesn't tell of. That is no reason
-// to run fewer requests for good.
-func TestASlowServerKeepsItsLimit(t *testing.T) {
+// A server slows down as a whole, for a reason that it doesn't report. That must not lower the
+// limit for good.
+func TestUniformSlowdownKeepsLimit(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(4, 4))
 	c := crowd.New(9)
-	s := server{slots: 9, knee: 7, times: 1.7}
+	s := server{slots: 9, knee: 7, kneeFactor: 1.7}
 	drive(c, s, rnd, 300)
 	for range 400 {
 		n := 1 + rnd.IntN(c.Limit())
@@ -130,15 +131,15 @@
 	require.GreaterOrEqual(t, c.Limit(), 6)
 }
 
-// A server with an early knee is found in the middle of an overload: every request starts
-// with all slots in use, and what it takes there passes for the usual. A look at fewer shows
-// what it would take.
-func TestAStandingOverloadEnds(t *testing.T) {
+// Sampling starts during an overload of a server with an early knee: every request starts with
+// all slots in use, so that the service time under contention looks like the base service
+// time. The trial of a lower level must reveal the knee.
+func TestLimitRecoversFromSustainedOverload(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 5))
-	s := server{slots: 9, knee: 4, times: 3}
+	s := server{slots: 9, knee: 4, kneeFactor: 3}
 	c := crowd.New(9)
 	for n := 5; n <= 9; n++ {
-		c.Learn(exactly(n, 1))
+		c.Learn(exactSample(n, 1))
 	}
 	for range 1000 {
 		n := c.Limit()
@@ -147,39 +148,39 @@
 	require.Equal(t, 4, c.Limit())
 }
 
-// Before anything is measured two thirds of the slots are used, and one request more is tried
-// at a time, so that a server with an early knee isn't flooded by its first burst.
-func TestTheFirstRequestsAreCareful(t *testing.T) {
+// Before anything has been measured, two thirds of the slots are used and one more request is
+// tried at a time, so that the first burst doesn't overload a server with an early knee.
+func TestLimitStartsLowAndRisesOneByOne(t *testing.T) {
 	c := crowd.New(12)
 	require.Equal(t, 8, c.Limit())
 	require.Equal(t, 9, c.Trial())
 	for _, n := range []int{4, 8, 9} {
-		c.Learn(exactly(n, 1))
+		c.Learn(exactSample(n, 1))
 	}
 	require.Equal(t, 9, c.Limit())
 	require.Equal(t, 10, c.Trial())
-	c.Learn(exactly(10, 3))
-	require.Equal(t, 9, c.Limit(), "one slow request is enough not to go on at once")
+	c.Learn(exactSample(10, 3))
+	require.Equal(t, 9, c.Limit(), "one slow request must keep the limit from rising further at once")
 	for range 12 {
-		c.Learn(exactly(10, 1))
+		c.Learn(exactSample(10, 1))
 	}
-	require.Equal(t, 10, c.Limit(), "others showed that it was no knee")
+	require.Equal(t, 10, c.Limit(), "further requests showed that there is no knee")
 }
 
-func TestNonsenseIsIgnored(t *testing.T) {
+func TestInvalidSamplesAreIgnored(t *testing.T) {
 	c := crowd.New(3)
-	for _, took := range []time.Duration{0, -1} {
-		c.Learn(crowd.Sample{Class: "a", Level: 1, Took: took})
+	for _, serviceTime := range []time.Duration{0, -1} {
+		c.Learn(crowd.Sample{Class: "a", Level: 1, Took: serviceTime})
 	}
-	c.Learn(exactly(0, 1))
-	c.Learn(exactly(4, 1))
+	c.Learn(exactSample(0, 1))
+	c.Learn(exactSample(4, 1))
 	require.Equal(t, crowd.New(3).Limit(), c.Limit())
 	require.Zero(t, crowd.New(0).Limit())
 	require.InDelta(t, 1, crowd.New(0).Factor(2), 0)
 }
 
-// Whatever is measured, the fitted curve never falls and the limits stay within the slots.
-func TestTheCurveIsAlwaysSound(t *testing.T) {
+// For any samples, the fitted curve must never fall and the limits must stay within the slots.
+func TestCurveIsMonotonicAndWithinSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 40).Draw(t, "slots")
 		c := crowd.New(slots)
@@ -204,6 +205,6 @@
 func BenchmarkLearn(b *testing.B) {
 	c := crowd.New(30)
 	for i := range b.N {
-		c.Learn(exactly(1+i%30, 1.1))
+		c.Learn(exactSample(1+i%30, 1.1))
 	}
 }
--- a/internal/crowd/fit.go
+++ b/internal/crowd/fit.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// leastRounds and mostRounds bound how often classes and levels are fitted to each other
-// after a request. Each fit goes on from the one before, and the fewer requests there are,
-// the more a new one changes.
-const leastRounds, mostRounds = 2, 16
+// minFitRounds and maxFitRounds bound how often classes and levels are fitted in turn after a
+// request. Each fit starts from the previous one, and a new request changes it the more, the
+// fewer requests there are.
+const minFitRounds, maxFitRounds = 2, 16
 
-// fit fits classes and levels to the window.
+// fit fits classes and levels to the requests in the window.
 func (c *Curve) fit() {
-	for range min(max(window/len(c.last), leastRounds), mostRounds) {
+	for range min(max(windowSize/len(c.samples), minFitRounds), maxFitRounds) {
 		c.fitClasses()
 		c.fitLevels()
 	}
@@ -17,23 +17,23 @@
 }
 
 func (c *Curve) fitClasses() {
-	for _, one := range c.classes {
-		one.sum = 0
+	for _, cls := range c.classes {
+		cls.sum = 0
 	}
-	for _, r := range c.last {
-		alone := r.took - c.levels[r.level-1].fitted
-		if known := r.class.expected(); known > 0 {
-			alone = near(alone, known)
+	for _, r := range c.samples {
+		base := r.logTime - c.levels[r.level-1].fitted
+		if expected := r.class.expected(); expected > 0 {
+			base = clampNear(base, expected)
 		}
-		r.class.sum += alone
+		r.class.sum += base
 	}
-	for _, one := range c.classes {
-		weight := float64(one.count)
-		if one.told > 0 {
-			one.sum += toldWeight * one.told
-			weight += toldWeight
+	for _, cls := range c.classes {
+		weight := float64(cls.count)
+		if cls.reported > 0 {
+			cls.sum += reportedWeight * cls.reported
+			weight += reportedWeight
 		}
-		one.work = one.sum / weight
+		cls.base = cls.sum / weight
 	}
 }
 
@@ -41,41 +41,43 @@
 	for i := range c.levels {
 		c.levels[i].sum, c.levels[i].count = 0, 0
 	}
-	least := math.Log(float64(leastWork))
-	for _, r := range c.last {
-		if r.class.work < least {
+	minLog := math.Log(float64(minBaseTime))
+	for _, r := range c.samples {
+		if r.class.base < minLog {
 			continue
 		}
 		l := &c.levels[r.level-1]
-		l.sum += near(r.took-r.class.work, l.fitted)
+		l.sum += clampNear(r.logTime-r.class.base, l.fitted)
 		l.count++
 	}
 	c.smooth(priorWeight, func(l *level, value float64) { l.fitted = value })
 	c.smooth(0, func(l *level, value float64) { l.measured = value })
 }
 
-// mostOff bounds how far one request moves a fit, as the logarithm of a ratio: a pulse that
-// began right after the last word on it makes a request take several times as long.
-const mostOff = 1.0
+// maxDeviation bounds how far one request moves a fit, as the logarithm of a ratio. A
+// transient slowdown that began after the server's last load report makes a request take
+// several times as long.
+const maxDeviation = 1.0
 
-// near gives a value, drawn to within mostOff of what is fitted.
-func near(value, fitted float64) float64 {
-	return min(max(value, fitted-mostOff), fitted+mostOff)
+// clampNear returns value, limited to within maxDeviation of fitted.
+func clampNear(value, fitted float64) float64 {
+	return min(max(value, fitted-maxDeviation), fitted+maxDeviation)
 }
 
-// block is a run of neighbouring levels with one fitted value.
+// block is a run of adjacent levels with one fitted value.
 type block struct {
 	weight, value float64
 	// last is the index of its last level.
 	last int
 }
 
-// noWeight is that of a level without requests: it takes the value of its neighbours.
-const noWeight = 1e-9
+// emptyWeight is the weight of a level without requests, so low that the level follows its
+// neighbours.
+const emptyWeight = 1e-9
 
-// smooth fits the levels by pooling adjacent violators (Ayer and others, 1955): a server
-// never gets faster by running more. Each level is drawn to the one below by the weight
-// of a prior.
+// smooth fits the levels by pooling adjacent violators (Ayer and others, 1955), as running
+// more requests at once never makes a server faster. Each level is drawn towards the level
+// below with the weight prior.
 func (c *Curve) smooth(prior float64, set func(*level, float64)) {
 	c.blocks = c.blocks[:0]
 	base := 0.0
@@ -87,7 +89,7 @@
 		if l.count > 0 {
 			value += (l.mean() - base) * float64(l.count) / (float64(l.count) + prior)
 		}
-		c.join(block{weight: float64(l.count) + noWeight, value: value, last: i})
+		c.appendBlock(block{weight: float64(l.count) + emptyWeight, value: value, last: i})
 	}
 	first := 0
 	for _, b := range c.blocks {
@@ -98,11 +100,11 @@
 	}
 }
 
-// mean gives the mean of the logarithms of the ratios at the level.
+// mean returns the mean of the logarithms of the contention factors at the level.
 func (l level) mean() float64 { return l.sum / float64(l.count) }
 
-// join adds a block behind the others and merges those that it falls below.
-func (c *Curve) join(b block) {
+// appendBlock appends a block and merges it with preceding blocks that have no lower value.
+func (c *Curve) appendBlock(b block) {
 	for n := len(c.blocks); n > 0 && c.blocks[n-1].value >= b.value; n-- {
 		top := c.blocks[n-1]
 		weight := top.weight + b.weight
@@ -113,34 +115,34 @@
 	c.blocks = append(c.blocks, b)
 }
 
-// choose finds the measured level with the most throughput, which is the number of
-// requests over the time that each takes, and the next ones worth a trial.
+// choose sets the measured level with the highest throughput, which is the number of requests
+// divided by the time that each takes, and the levels to try next.
 func (c *Curve) choose() {
-	start := max(int(float64(len(c.levels))*startShare), 1)
+	initial := max(int(float64(len(c.levels))*initialShare), 1)
 	c.best = 0
 	score := math.Inf(-1)
 	for i, l := range c.levels {
 		n := i + 1
-		if n > start && l.count == 0 {
+		if n > initial && l.count == 0 {
 			continue
 		}
-		slower := l.fitted
+		slowdown := l.fitted
 		if n > c.best+1 {
-			// Past levels that are worse only what was measured counts, not what is
-			// assumed of levels with few requests.
-			slower = max(slower, l.measured)
+			// Beyond levels that are worse only measurements count, not the assumption about
+			// levels with few requests.
+			slowdown = max(slowdown, l.measured)
 		}
-		if s := math.Log(float64(n)) - slower; s >= score {
+		if s := math.Log(float64(n)) - slowdown; s >= score {
 			c.best, score = n, s
 		}
 	}
 	c.trial = c.nextTrial(score)
-	c.down = c.trialDown()
+	c.lower = c.lowerTrial()
 }
 
-// nextTrial gives the level to try next, or the best if none may be better: the lowest
-// above it that isn't measured and has more throughput if it is no slower than the one
-// below. Behind a mild knee that can lie some levels further up.
+// nextTrial returns the level to try next, or the best level if no other can be better. It is
+// the lowest unmeasured level above the best that would have a higher throughput if it were no
+// slower than the level below. Beyond a mild knee it can be several levels up.
 func (c *Curve) nextTrial(score float64) int {
 	if c.best == 0 {
 		return 0
@@ -154,19 +156,20 @@
 	return c.best
 }
 
-// trialDown gives a level below the best to try, 0 for none. Under a standing queue every
-// request starts at the limit, and a server that is slow for what runs on it looks just
-// like one whose requests take so long. Run with half as many for a moment, it shows.
-func (c *Curve) trialDown() int {
+// lowerTrial returns a level below the best to try, or 0 for none. While the queue is never
+// empty, every request starts at the limit, and a server slowed by contention can't be
+// distinguished from one with a long base service time. Running half as many for a short time
+// shows the difference.
+func (c *Curve) lowerTrial() int {
 	half := c.best / 2
-	if half == 0 || c.down == 0 && c.levels[c.best-1].count < downAfter {
+	if half == 0 || c.lower == 0 && c.levels[c.best-1].count < lowerAfter {
 		return 0
 	}
 	count := 0
 	for _, l := range c.levels[:half] {
 		count += l.count
 	}
-	if c.down == 0 && count > 0 || count >= downUntil {
+	if c.lower == 0 && count > 0 || count >= lowerSamples {
 		return 0
 	}
 	return half
