--- a/internal/mesh/entry/choose.go
+++ b/internal/mesh/entry/choose.go
@@ -14,92 +14,93 @@
 )
 
 const (
-	// assumedAnswer is the size of an answer where none was seen, in bytes.
-	assumedAnswer = 2 << 10
-	// envelope is what the frames and TCP add to a request and its answer, in bytes.
-	envelope = 600
-	// failureCost is what a request that surely fails is taken to cost: over the
-	// longest wait that is worth it, so that failing fast never looks cheap.
-	failureCost = 1500 * time.Millisecond
-	// lateCost is what an answer that is surely late is taken to cost: nearly as much as
-	// none.
-	lateCost = failureCost * 9 / 10
-	// workSpread is the deviation of the logarithm of how long a request takes from what
-	// is expected.
-	workSpread = 0.35
-	// crowding is the part of a slot's time that a full target adds beside waits:
-	// among targets with free slots the emptier one is better, as what it gets next
-	// is less likely to wait.
-	crowding = 0.15
-	// jitter spreads nodes that see the same loads over targets that are equally good.
+	// assumedAnswerBytes is the size of an answer of a route without any answers yet.
+	assumedAnswerBytes = 2 << 10
+	// framingBytes is what frames and TCP add to a request and its answer.
+	framingBytes = 600
+	// failurePenalty is the penalty of a request that is certain to fail. It is longer than
+	// any wait that is acceptable, so that a target that fails fast never has the best score.
+	failurePenalty = 1500 * time.Millisecond
+	// latePenalty is the penalty of an answer that is certain to be late: nearly that of no
+	// answer.
+	latePenalty = failurePenalty * 9 / 10
+	// serviceTimeSigma is the standard deviation of the logarithm of the ratio of actual to
+	// expected service time.
+	serviceTimeSigma = 0.35
+	// utilizationPenalty is the share of the service time that is added to the score of a
+	// fully used target, besides its wait. Among targets with free slots the least used is
+	// preferred, as its next requests are the least likely to wait.
+	utilizationPenalty = 0.15
+	// jitter spreads the requests of nodes that see the same loads over equally good targets.
 	jitter = 3 * time.Millisecond
 )
 
-// wayTo is the round trip to each distance, on the usual links between zones and
-// regions; the price of bytes matters more than its exact value.
-var wayTo = [...]time.Duration{
+// rttTo is the round-trip time to each distance on typical links between zones and regions.
+// Its exact values matter less than Prices.
+var rttTo = [...]time.Duration{
 	place.SameVM: 0, place.SameZone: 300 * time.Microsecond,
 	place.SameRegion: 3 * time.Millisecond, place.OtherRegion: 16 * time.Millisecond,
 }
 
-// candidate is a target with what a request is expected to cost there.
+// candidate is a target with the expected delay of a request there.
 type candidate struct {
 	target *mesh.Target
-	// cost orders candidates: time, and bytes and risks as time.
-	cost time.Duration
-	// wait is the time until it gets a slot: the forecast's, or longer where the target
-	// refused the request for that.
+	// score orders candidates, the lowest first: the expected delay plus penalties for the
+	// bytes transferred and for the risk of a late answer or a failure.
+	score time.Duration
+	// wait is the expected time in the queue: that of the forecast, or the wait with which the
+	// target refused this request if that is longer.
 	wait     time.Duration
 	forecast mesh.Forecast
 }
 
-// routeStat is what was seen of a route's requests. Safe for concurrent use.
-type routeStat struct {
+// routeStats are averages over a route's requests. Safe for concurrent use.
+type routeStats struct {
 	mu sync.Mutex
-	// answer is a moving average of answers' sizes in bytes, work one of the time
-	// that an idle target takes for them, in nanoseconds; seen counts them.
-	answer, work float64
-	seen         int
+	// answerBytes is a moving average of the size of answers, baseServiceTime one of the base
+	// service time in nanoseconds; seen counts the samples.
+	answerBytes, baseServiceTime float64
+	seen                         int
 }
 
-// statWeight is the inverse weight of a new sample in the moving averages.
-const statWeight = 16
+// averageWeight is the inverse weight of a new sample in the moving averages.
+const averageWeight = 16
 
-func (s *routeStat) learn(bytes int, work time.Duration) {
+func (s *routeStats) add(bytes int, baseServiceTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seen++
-	weight := float64(min(s.seen, statWeight))
-	s.answer += (float64(bytes) - s.answer) / weight
-	s.work += (float64(work) - s.work) / weight
+	weight := float64(min(s.seen, averageWeight))
+	s.answerBytes += (float64(bytes) - s.answerBytes) / weight
+	s.baseServiceTime += (float64(baseServiceTime) - s.baseServiceTime) / weight
 }
 
-func (s *routeStat) expect() (bytes float64, work time.Duration) {
+func (s *routeStats) expected() (bytes float64, baseServiceTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.seen == 0 {
-		return assumedAnswer, 0
+		return assumedAnswerBytes, 0
 	}
-	return s.answer, time.Duration(s.work)
+	return s.answerBytes, time.Duration(s.baseServiceTime)
 }
 
-func (e *Entry) routeStat(name string) *routeStat {
-	s, _ := e.routes.LoadOrStore(name, &routeStat{})
-	return s.(*routeStat)
+func (e *Entry) routeStats(name string) *routeStats {
+	s, _ := e.routes.LoadOrStore(name, &routeStats{})
+	return s.(*routeStats)
 }
 
-// candidates gives the targets that the request may be offered to, cheapest first.
-func (t *trip) candidates() []candidate {
+// candidates returns the targets that may get the request, the best first.
+func (t *transaction) candidates() []candidate {
 	all := t.view.Targets[t.service]
-	bytes, work := t.stat.expect()
-	work = cmp.Or(work, t.route.AssumedWork())
+	bytes, baseServiceTime := t.stats.expected()
+	baseServiceTime = cmp.Or(baseServiceTime, t.route.AssumedWork())
 	list := make([]candidate, 0, len(all))
 	var avoided []candidate
 	for _, target := range all {
 		if t.tried(target) {
 			continue
 		}
-		c, usable := t.weigh(target, int(bytes), work)
+		c, usable := t.evaluate(target, int(bytes), baseServiceTime)
 		if usable {
 			list = append(list, c)
 		} else {
@@ -107,59 +108,61 @@
 		}
 	}
 	if len(list) == 0 {
-		// One more try beats a certain refusal.
+		// One more attempt is better than a certain refusal.
 		list = avoided
 	}
-	slices.SortFunc(list, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
+	slices.SortFunc(list, func(a, b candidate) int { return cmp.Compare(a.score, b.score) })
 	return list
 }
 
-// tried says whether the request may have run at the target already.
-func (t *trip) tried(target *mesh.Target) bool {
-	return slices.ContainsFunc(t.offers, func(o offer) bool {
-		return o.target.ID == target.ID && !refusedBusy(o.kind)
+// tried reports whether the target must not get the request again, as it may have run it or
+// refused it for another reason than overload.
+func (t *transaction) tried(target *mesh.Target) bool {
+	return slices.ContainsFunc(t.attempts, func(a attempt) bool {
+		return a.target.ID == target.ID && !refusedForLoad(a.kind)
 	})
 }
 
-// weigh estimates what the request costs at a target whose answer has so many bytes
-// and takes so much work, and whether the target is usable.
-func (t *trip) weigh(target *mesh.Target, bytes int, work time.Duration) (candidate, bool) {
+// evaluate returns the target as a candidate, given the expected size of the answer and the
+// base service time, and reports whether the target is usable.
+func (t *transaction) evaluate(target *mesh.Target, bytes int, baseServiceTime time.Duration) (candidate, bool) {
 	now := t.entry.Now()
 	if target.Distance == place.SameVM {
 		target.Stat.Report(t.entry.Guard.Load(), now)
 	}
-	f := target.Forecast(work, now)
+	f := target.Forecast(baseServiceTime, now)
 	c := candidate{target: target, wait: f.Wait, forecast: f}
 	if wait, refused := t.refusals[target.ID]; refused {
 		c.wait = max(c.wait, wait)
 	}
 	slots := max(f.Slots, target.Slots, 1)
-	c.cost = wayTo[target.Distance] + c.wait + f.Work +
-		t.risk(f, now+wayTo[target.Distance]) +
-		time.Duration(crowding*float64(f.Work)*float64(f.Busy)/float64(slots)) +
-		time.Duration(f.Failing*float64(failureCost)) +
-		t.entry.prices.Load().of(target.Distance, len(t.in.Body)+bytes+envelope) +
+	c.score = rttTo[target.Distance] + c.wait + f.ExpectedServiceTime +
+		t.riskPenalty(f, now+rttTo[target.Distance]) +
+		time.Duration(utilizationPenalty*float64(f.ExpectedServiceTime)*float64(f.Busy)/float64(slots)) +
+		time.Duration(f.FailureRate*float64(failurePenalty)) +
+		t.entry.prices.Load().of(target.Distance, len(t.in.Body)+bytes+framingBytes) +
 		rand.N(jitter)
 	return c, !f.Avoid && !f.Leaving
 }
 
-// risk gives what the chances cost that a request sent now is answered late, or not at all.
-func (t *trip) risk(f mesh.Forecast, now time.Duration) time.Duration {
-	late := lateChance(f, t.aim-now)
-	none := lateChance(f, t.deadline-now)
-	return time.Duration(late*float64(lateCost) + none*float64(failureCost-lateCost))
+// riskPenalty returns the penalty for the probabilities that a request sent now is answered
+// late or not at all.
+func (t *transaction) riskPenalty(f mesh.Forecast, now time.Duration) time.Duration {
+	late := lateProbability(f, t.objective-now)
+	none := lateProbability(f, t.deadline-now)
+	return time.Duration(late*float64(latePenalty) + none*float64(failurePenalty-latePenalty))
 }
 
-// lateChance gives the chance that a request is answered later than so much time from now.
-func lateChance(f mesh.Forecast, aimLeft time.Duration) float64 {
-	room := aimLeft - f.Wait
-	if room <= 0 {
+// lateProbability returns the probability that the answer takes longer than remaining.
+func lateProbability(f mesh.Forecast, remaining time.Duration) float64 {
+	available := remaining - f.Wait
+	if available <= 0 {
 		return 1
 	}
-	return distuv.LogNormal{Sigma: workSpread}.Survival(float64(room) / float64(f.Work))
+	return distuv.LogNormal{Sigma: serviceTimeSigma}.Survival(float64(available) / float64(f.ExpectedServiceTime))
 }
 
-// of gives the price of bytes to a distance, as time.
+// of returns the penalty for transferring bytes to a distance.
 func (p Prices) of(d place.Distance, bytes int) time.Duration {
 	const kilobyte = 1000
 	switch d {
--- a/internal/mesh/entry/entry.go
+++ b/internal/mesh/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry takes whole requests of callers, chooses a target for each,
-// offers it there, and decides what follows when that fails.
+// Package entry accepts complete requests from callers, chooses a target for each, sends it
+// there, and decides whether to try another target when that fails.
 package entry
 
 import (
@@ -15,43 +15,44 @@
 	"github.com/limpetdock/limpetdock/internal/mesh"
 )
 
-// Guard runs requests at the own backend server.
+// Guard runs requests at the backend server beside the node.
 type Guard interface {
 	Run(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error)
 	Load() mesh.Load
 }
 
-// Peers runs requests at other nodes' backend servers.
+// Peers runs requests at the backend servers of other nodes.
 type Peers interface {
 	Run(ctx context.Context, addr string, r *mesh.Request) (*mesh.Answer, *kind.Error)
 }
 
-// Observer is told what each request came to. Safe for concurrent use.
+// Observer receives the outcomes of requests. Safe for concurrent use.
 type Observer interface {
 	Answered(service string, k kind.Kind, took time.Duration)
 	Hopped(service string, k kind.Kind)
-	// Forecast is told how long an offer that was answered was expected to take, and how
-	// long it took.
+	// Forecast receives the expected and the actual time of an attempt that was answered.
 	Forecast(service string, expected, took time.Duration)
 }
 
-// Prices turn bytes that leave the zone into time: how much longer a request may
-// take near home before it is worth sending away.
+// Prices are latency penalties for bytes that leave the zone: how much longer a request may
+// take at a near target before a farther one is preferred.
 type Prices struct {
-	// ZonePerKB and RegionPerKB are for each kilobyte of a request and its answer.
+	// ZonePerKB and RegionPerKB apply to each kilobyte of a request and its answer that is
+	// sent to another zone or to another region.
 	ZonePerKB, RegionPerKB time.Duration
 }
 
-// Repeats bounds how often requests may be run again, over all nodes.
+// Repeats bounds the retries of requests that have reached a backend server, over all nodes
+// together.
 type Repeats struct {
-	// Ratio is repeats for each request within Window, Slack how many more the
-	// whole deployment may make.
+	// Ratio is the number of retries for each request within Window. Slack is how many more
+	// the whole deployment may make.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Config is what an Entry is made of.
+// Config holds the dependencies and settings of an Entry.
 type Config struct {
 	Here     mesh.Place
 	Guard    Guard
@@ -59,112 +60,113 @@
 	Repeats  Repeats
 	Observer Observer
 	Log      *decision.Log
-	// Now gives the time since the node's start by a clock that counts the time
-	// for which the VM was suspended.
+	// Now returns the time since the node's start, by a clock that continues while the VM is
+	// suspended.
 	Now func() time.Duration
 }
 
 // Entry is the entry role of a node. Safe for concurrent use.
 type Entry struct {
 	Config
-	view   atomic.Pointer[mesh.View]
-	prices atomic.Pointer[Prices]
-	mu     sync.Mutex
-	rows   map[string]*budget.Window
-	routes sync.Map // route name to *routeStat
-	active atomic.Int64
-	// stop is set once the node stops.
+	view         atomic.Pointer[mesh.View]
+	prices       atomic.Pointer[Prices]
+	mu           sync.Mutex
+	retryBudgets map[string]*budget.Window
+	routes       sync.Map // route name to *routeStats
+	active       atomic.Int64
+	// stop is set when the node begins to stop.
 	stop atomic.Pointer[stop]
 }
 
-// stop is when the node began to stop and when the process ends, since its start.
+// stop is when the node began to stop and when the process ends, since the node's start.
 type stop struct{ began, ends time.Duration }
 
-// New returns an Entry that refuses everything until it has a View.
+// New returns an Entry that refuses all requests until it has a View.
 func New(c Config) *Entry {
-	e := &Entry{Config: c, rows: map[string]*budget.Window{}}
+	e := &Entry{Config: c, retryBudgets: map[string]*budget.Window{}}
 	e.SetPrices(Prices{})
 	return e
 }
 
-// SetPrices changes the prices of bytes; without any, bytes are free.
+// SetPrices changes the penalties for transferred bytes; the zero value has none.
 func (e *Entry) SetPrices(p Prices) { e.prices.Store(&p) }
 
-// SetView puts a new View in force.
+// SetView replaces the View.
 func (e *Entry) SetView(v *mesh.View) { e.view.Store(v) }
 
-// View gives the View in force, or nil.
+// View returns the View in force, or nil.
 func (e *Entry) View() *mesh.View { return e.view.Load() }
 
-// Active gives how many requests are being served.
+// Active returns the number of requests being served.
 func (e *Entry) Active() int { return int(e.active.Load()) }
 
-// Stop tells that the process ends at a time since its start. Requests that may
-// not be over by then are refused from a moment on.
+// Stop announces that the process ends at the given time since the node's start. After a grace
+// period, requests that might not complete before then are refused.
 func (e *Entry) Stop(ends time.Duration) { e.stop.Store(&stop{e.Now(), ends}) }
 
 const (
-	// stopTakes is how long after the signal to stop every request is still taken:
-	// callers learn only then that they should go elsewhere.
-	stopTakes = 2900 * time.Millisecond
-	// stopRetry is when a caller that is refused because the node stops should come
-	// back, to another node.
-	stopRetry = 50 * time.Millisecond
+	// stopAcceptPeriod is how long all requests are still accepted after the signal to stop,
+	// as callers need that time to learn that they should use another node.
+	stopAcceptPeriod = 2900 * time.Millisecond
+	// stopRetryAfter is when a caller that is refused because the node stops should retry, at
+	// another node.
+	stopRetryAfter = 50 * time.Millisecond
 )
 
-// refuseLate refuses a request that may outlast the process. A caller that keeps
-// its connection sends on it until the process is gone; taken, its booking
-// would be cut off midway and nobody could tell whether it ran. Refused at once,
-// it goes to another node.
-func (t *trip) refuseLate() *kind.Error {
+// refuseIfStopping refuses a request that may outlast the process. A caller that keeps its
+// connection sends requests on it until the process ends. A request accepted late would be cut
+// off while it runs, and its outcome would be unknown. Refused at once, it goes to another
+// node.
+func (t *transaction) refuseIfStopping() *kind.Error {
 	s := t.entry.stop.Load()
-	if s == nil || t.in.Arrived < s.began+stopTakes || t.deadline < s.ends {
+	if s == nil || t.in.Arrived < s.began+stopAcceptPeriod || t.deadline < s.ends {
 		return nil
 	}
-	e := kind.New(kind.Leaving, "the node stops before the request may be over")
-	e.RetryAfter = stopRetry
+	e := kind.New(kind.Leaving, "the node stops before the request is certain to complete")
+	e.RetryAfter = stopRetryAfter
 	return e
 }
 
-// Inbound is one request as a caller sent it, read whole.
+// Inbound is one complete request as a caller sent it.
 type Inbound struct {
 	ID, Method, URI, Path, Host string
 	Header                      http.Header
 	Body                        []byte
-	// Timeout is how long the caller waits, 0 if it didn't say.
+	// Timeout is how long the caller waits, or 0 if it didn't specify a time.
 	Timeout time.Duration
 	// Arrived is when its last byte was read, since the node's start.
 	Arrived time.Duration
 }
 
-// trip is one request on its way through the entry.
-type trip struct {
+// transaction is the state of one request while the entry handles it.
+type transaction struct {
 	entry   *Entry
 	in      *Inbound
 	view    *mesh.View
 	route   *mesh.Route
-	stat    *routeStat
+	stats   *routeStats
 	service string
-	// deadline is when the caller or the route gives up, and aim when the answer
-	// loses most of its worth.
-	deadline, aim time.Duration
-	offers        []offer
+	// deadline is when the caller's or the route's timeout expires, and objective when the
+	// route's latency objective passes.
+	deadline, objective time.Duration
+	attempts            []attempt
 	// sent counts the targets that may have run the request.
 	sent int
-	// refusals are what guards said of their wait, by target.
+	// refusals holds the wait to assume at targets that refused the request for overload, by
+	// target id.
 	refusals map[string]time.Duration
 }
 
-// offer is one target that the request was offered to.
-type offer struct {
+// attempt is one try to run the request at a target.
+type attempt struct {
 	target *mesh.Target
 	took   time.Duration
 	kind   kind.Kind
-	// expected is how long it was expected to take.
+	// expected is how long the attempt was expected to take.
 	expected time.Duration
 }
 
-// Serve answers a request. ctx ends when the caller leaves.
+// Serve handles a request and returns its answer. ctx ends when the caller disconnects.
 func (e *Entry) Serve(ctx context.Context, in *Inbound) (*mesh.Answer, *kind.Error) {
 	e.active.Add(1)
 	defer e.active.Add(-1)
@@ -183,20 +185,21 @@
 	return answer, err
 }
 
-// plan finds the route of a request and what holds for it.
-func (e *Entry) plan(in *Inbound) (*trip, *kind.Error) {
-	t := &trip{entry: e, in: in, view: e.view.Load(), refusals: map[string]time.Duration{}}
+// plan finds the route of a request and sets its service, deadline and latency objective.
+func (e *Entry) plan(in *Inbound) (*transaction, *kind.Error) {
+	t := &transaction{entry: e, in: in, view: e.view.Load(), refusals: map[string]time.Duration{}}
 	if t.view == nil {
-		// It comes within moments from the store, or from a neighbour if that is away.
+		// The View arrives shortly from the store, or from another node if the store is
+		// unavailable.
 		refusal := kind.New(kind.NotReady, "no configuration is in force yet")
-		refusal.RetryAfter = spread(comeBackLeast)
+		refusal.RetryAfter = randomize(minRetryAfter)
 		return t, refusal
 	}
 	t.route = t.view.Config.Match(in.Host, in.Path)
 	if t.route == nil {
 		return t, kind.New(kind.UnknownService, "no route for %s%s", kind.Clip(in.Host), kind.Clip(in.Path))
 	}
-	t.stat = e.routeStat(t.route.Name)
+	t.stats = e.routeStats(t.route.Name)
 	t.service = t.route.Weights.Next(t.route.Shares)
 	timeout := t.route.Timeout
 	if in.Timeout > 0 && (timeout == 0 || in.Timeout < timeout) {
@@ -206,49 +209,49 @@
 		timeout = defaultTimeout
 	}
 	t.deadline = in.Arrived + timeout
-	t.aim = in.Arrived + min(t.route.Aim, timeout)
+	t.objective = in.Arrived + min(t.route.Aim, timeout)
 	if t.route.Aim == 0 {
-		t.aim = t.deadline
+		t.objective = t.deadline
 	}
-	if refusal := t.refuseLate(); refusal != nil {
+	if refusal := t.refuseIfStopping(); refusal != nil {
 		return t, refusal
 	}
-	e.repeats(t.service).Request(e.Now())
+	e.retryBudget(t.service).Request(e.Now())
 	return t, nil
 }
 
-// defaultTimeout holds where neither the caller nor the route says anything. It
-// is what most HTTP clients use.
+// defaultTimeout applies where neither the caller nor the route specifies one. It is the
+// default of most HTTP clients.
 const defaultTimeout = 30 * time.Second
 
-// nodeMargin is what a node's share of the slack is divided by besides the number
-// of nodes: one that was killed and started again begins a new share, and both
-// may fall into one window.
-const nodeMargin = 2
+// restartMargin divides a node's share of the slack, in addition to the number of nodes: a
+// node that is killed and restarted begins with a new share, and both shares may be used
+// within one window.
+const restartMargin = 2
 
-// ratioMargin keeps the node's repeats under the ratio where the requests that
-// it has counted are judged by windows that begin elsewhere.
+// ratioMargin keeps the node's retries below the ratio also in windows that begin at other
+// times than the node's own.
 const ratioMargin = 0.7
 
-// repeats gives the budget of a service.
-func (e *Entry) repeats(service string) *budget.Window {
+// retryBudget returns the retry budget of a service.
+func (e *Entry) retryBudget(service string) *budget.Window {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	w := e.rows[service]
+	w := e.retryBudgets[service]
 	if w == nil {
 		w = budget.NewWindow(e.Repeats.Window, 0, 0)
-		e.rows[service] = w
+		e.retryBudgets[service] = w
 	}
 	nodes := 1
 	if v := e.view.Load(); v != nil {
 		nodes += len(v.Peers)
 	}
-	w.Set(e.Repeats.Ratio*ratioMargin, e.Repeats.Slack/float64(nodeMargin*nodes))
+	w.Set(e.Repeats.Ratio*ratioMargin, e.Repeats.Slack/float64(restartMargin*nodes))
 	return w
 }
 
-// record writes what became of a request.
-func (e *Entry) record(t *trip, a *mesh.Answer, err *kind.Error) {
+// record logs and counts the outcome of a request.
+func (e *Entry) record(t *transaction, a *mesh.Answer, err *kind.Error) {
 	took := e.Now() - t.in.Arrived
 	k := kind.Kind("")
 	if err != nil {
--- a/internal/mesh/entry/entry_test.go
+++ b/internal/mesh/entry/entry_test.go
@@ -15,39 +15,39 @@
 	"github.com/limpetdock/limpetdock/internal/place"
 )
 
-// world is a deployment in which every target's node answers by a function.
-type world struct {
+// deployment simulates nodes that answer by a function for each target.
+type deployment struct {
 	t     *testing.T
 	entry *entry.Entry
 	route *mesh.Route
 	now   time.Duration
 	mu    sync.Mutex
-	// offered are the targets' nodes that requests were offered to, in order.
-	offered []string
-	answers map[string]func(r *mesh.Request) (*mesh.Answer, *kind.Error)
-	targets []*mesh.Target
-	// load is the own guard's.
+	// attempted lists the nodes that received requests, in order.
+	attempted []string
+	answers   map[string]func(r *mesh.Request) (*mesh.Answer, *kind.Error)
+	targets   []*mesh.Target
+	// load is the load that the local guard reports.
 	load mesh.Load
 }
 
 const own = "own"
 
-func (w *world) Run(_ context.Context, addr string, r *mesh.Request) (*mesh.Answer, *kind.Error) {
-	w.mu.Lock()
-	w.offered = append(w.offered, addr)
-	f := w.answers[addr]
-	w.mu.Unlock()
+func (d *deployment) Run(_ context.Context, addr string, r *mesh.Request) (*mesh.Answer, *kind.Error) {
+	d.mu.Lock()
+	d.attempted = append(d.attempted, addr)
+	f := d.answers[addr]
+	d.mu.Unlock()
 	if f == nil {
 		return answered(200)(r)
 	}
 	return f(r)
 }
 
-// guard is the own node's guard.
-type guard struct{ *world }
+// guard is the local node's guard.
+type guard struct{ *deployment }
 
 func (g guard) Run(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
-	return g.world.Run(ctx, own, r)
+	return g.deployment.Run(ctx, own, r)
 }
 func (g guard) Load() mesh.Load { return g.load }
 
@@ -68,348 +68,350 @@
 	return func(*mesh.Request) (*mesh.Answer, *kind.Error) { return nil, kind.New(k, "test") }
 }
 
-// newWorld makes a deployment with a target on the own VM, two in the region, of
-// which the second has work, and one in another region.
-func newWorld(t *testing.T, idempotent bool) *world {
-	w := &world{t: t, now: time.Minute, load: mesh.Load{Slots: 6, Slowdown: 1}, answers: map[string]func(*mesh.Request) (*mesh.Answer, *kind.Error){}}
-	w.entry = entry.New(entry.Config{
-		Here: mesh.Place{VM: "vm", Service: "shop"}, Guard: guard{w}, Peers: w, Observer: observer{},
+// newDeployment returns a deployment with a target on the same VM, two in the region, of which
+// the second has some load, and one in another region.
+func newDeployment(t *testing.T, idempotent bool) *deployment {
+	d := &deployment{t: t, now: time.Minute, load: mesh.Load{Slots: 6, Slowdown: 1}, answers: map[string]func(*mesh.Request) (*mesh.Answer, *kind.Error){}}
+	d.entry = entry.New(entry.Config{
+		Here: mesh.Place{VM: "vm", Service: "shop"}, Guard: guard{d}, Peers: d, Observer: observer{},
 		Repeats: entry.Repeats{Ratio: 0.2, Slack: 80, Window: 10 * time.Second},
-		Now:     func() time.Duration { return w.now },
+		Now:     func() time.Duration { return d.now },
 	})
-	w.entry.SetPrices(entry.Prices{ZonePerKB: 2 * time.Millisecond, RegionPerKB: 20 * time.Millisecond})
+	d.entry.SetPrices(entry.Prices{ZonePerKB: 2 * time.Millisecond, RegionPerKB: 20 * time.Millisecond})
 	distances := map[string]place.Distance{own: place.SameVM, "zone": place.SameRegion, "region": place.SameRegion, "far": place.OtherRegion}
 	for _, name := range []string{own, "zone", "region", "far"} {
-		w.targets = append(w.targets, &mesh.Target{
+		d.targets = append(d.targets, &mesh.Target{
 			ID: "i-" + name, Service: "orders", Peer: name, Slots: 6, Distance: distances[name], Stat: &mesh.Stat{},
 		})
 	}
-	w.targets[2].Stat.Report(mesh.Load{Running: 3, Slots: 6, Service: 80 * time.Millisecond, Slowdown: 1}, w.now)
-	w.route = &mesh.Route{
+	d.targets[2].Stat.Report(mesh.Load{Running: 3, Slots: 6, Service: 80 * time.Millisecond, Slowdown: 1}, d.now)
+	d.route = &mesh.Route{
 		Name: "r", Host: "h", Prefix: "/", Shares: []mesh.Share{{Service: "orders", Weight: 1}}, Idempotent: idempotent,
 		Timeout: time.Second, Aim: 300 * time.Millisecond, MaxTargets: 2, Weights: &mesh.Weights{},
 	}
-	w.publish()
-	return w
+	d.publishView()
+	return d
 }
 
-func (w *world) publish() {
+func (d *deployment) publishView() {
 	services := map[string]*mesh.Service{"orders": {Name: "orders"}}
-	w.entry.SetView(&mesh.View{
-		Config:  mesh.NewConfig(1, services, []*mesh.Route{w.route}, mesh.Limits{}),
-		Targets: map[string][]*mesh.Target{"orders": w.targets}, Peers: map[string]mesh.Peer{"zone": {Distance: 1}, "region": {Distance: 2}, "far": {Distance: 3}},
+	d.entry.SetView(&mesh.View{
+		Config:  mesh.NewConfig(1, services, []*mesh.Route{d.route}, mesh.Limits{}),
+		Targets: map[string][]*mesh.Target{"orders": d.targets}, Peers: map[string]mesh.Peer{"zone": {Distance: 1}, "region": {Distance: 2}, "far": {Distance: 3}},
 	})
 }
 
-func (w *world) request(body int) *entry.Inbound {
-	return &entry.Inbound{ID: "id", Method: "POST", URI: "/a", Path: "/a", Host: "h", Header: http.Header{}, Body: make([]byte, body), Arrived: w.now}
+func (d *deployment) request(body int) *entry.Inbound {
+	return &entry.Inbound{ID: "id", Method: "POST", URI: "/a", Path: "/a", Host: "h", Header: http.Header{}, Body: make([]byte, body), Arrived: d.now}
 }
 
-func (w *world) serve() (*mesh.Answer, *kind.Error) {
-	return w.entry.Serve(w.t.Context(), w.request(0))
+func (d *deployment) serve() (*mesh.Answer, *kind.Error) {
+	return d.entry.Serve(d.t.Context(), d.request(0))
 }
 
-// busy makes targets report that all slots are taken and some wait.
-func (w *world) busy(waiting int, names ...string) {
+// setBusy makes targets report that all slots are used and some requests wait.
+func (d *deployment) setBusy(waiting int, names ...string) {
 	full := mesh.Load{Running: 6, Waiting: waiting, Slots: 6, Service: 100 * time.Millisecond, Slowdown: 1}
-	for _, t := range w.targets {
+	for _, t := range d.targets {
 		for _, name := range names {
 			if t.Peer != name {
 				continue
 			}
-			t.Stat.Report(full, w.now)
+			t.Stat.Report(full, d.now)
 			if name == own {
-				w.load = full
+				d.load = full
 			}
 		}
 	}
 }
 
-// A node dies with a booking on its way to a backend server. Whether it ran can't
-// be known, so it must not be offered to another one.
-func TestABookingWhoseOutcomeIsOpenIsNotSentAgain(t *testing.T) {
+// A node dies while a request that must run at most once is on its way to a backend server.
+// Whether it ran is unknown, so it must not be sent to another target.
+func TestNonIdempotentRequestWithUnknownOutcomeIsNotRetried(t *testing.T) {
 	for _, k := range []kind.Kind{kind.OutcomeUnknown, kind.BackendBroken, kind.DeadlineUnknown} {
-		w := newWorld(t, false)
-		w.answers[own] = failing(k)
-		_, err := w.serve()
+		d := newDeployment(t, false)
+		d.answers[own] = failing(k)
+		_, err := d.serve()
 		require.Equal(t, kind.Unknown, err.Said(), k)
-		require.Equal(t, []string{own}, w.offered, k)
+		require.Equal(t, []string{own}, d.attempted, k)
 	}
 }
 
-func TestABookingGoesOnWithProofThatItDidNotRun(t *testing.T) {
+func TestNonIdempotentRequestThatDidNotRunGoesToNextTarget(t *testing.T) {
 	for _, k := range []kind.Kind{kind.Overloaded, kind.Leaving, kind.Unreachable, kind.StaleAttempt, kind.NotReady} {
-		w := newWorld(t, false)
-		w.answers[own] = failing(k)
-		answer, err := w.serve()
+		d := newDeployment(t, false)
+		d.answers[own] = failing(k)
+		answer, err := d.serve()
 		require.Nil(t, err, k)
 		require.Equal(t, 200, answer.Status)
-		require.Equal(t, []string{own, "zone"}, w.offered, k)
+		require.Equal(t, []string{own, "zone"}, d.attempted, k)
 	}
 }
 
-// Once any target may have run it, no later refusal makes "not run" true.
-func TestARefusalAfterAnOpenOutcomeStaysOpen(t *testing.T) {
-	w := newWorld(t, true)
-	w.answers[own] = failing(kind.BackendBroken)
+// Once any target may have run the request, a later refusal must not turn the outcome into
+// "not run".
+func TestRefusalAfterUnknownOutcomeStaysUnknown(t *testing.T) {
+	d := newDeployment(t, true)
+	d.answers[own] = failing(kind.BackendBroken)
 	for _, name := range []string{"zone", "region", "far"} {
-		w.answers[name] = failing(kind.Overloaded)
+		d.answers[name] = failing(kind.Overloaded)
 	}
-	_, err := w.serve()
+	_, err := d.serve()
 	require.Equal(t, kind.Unknown, err.Said())
 }
 
-func TestAReadIsRepeatedOnAnotherTarget(t *testing.T) {
+func TestIdempotentRequestIsRetriedOnAnotherTarget(t *testing.T) {
 	for name, f := range map[string]func(*mesh.Request) (*mesh.Answer, *kind.Error){
 		"broken": failing(kind.BackendBroken), "own failure": answered(500),
 	} {
-		w := newWorld(t, true)
-		w.answers[own] = f
-		answer, err := w.serve()
+		d := newDeployment(t, true)
+		d.answers[own] = f
+		answer, err := d.serve()
 		require.Nil(t, err, name)
 		require.Equal(t, 200, answer.Status, name)
-		require.Len(t, w.offered, 2)
+		require.Len(t, d.attempted, 2)
 	}
 }
 
-// All targets fail. A read is repeated as often as its route says, and the last
-// failure is the answer.
-func TestNoRequestRunsOnMoreTargetsThanItsRouteAllows(t *testing.T) {
-	w := newWorld(t, true)
+// All targets fail. An idempotent request is retried as often as its route allows, and the
+// last failure is the answer.
+func TestRequestRunsOnAtMostMaxTargets(t *testing.T) {
+	d := newDeployment(t, true)
 	for _, name := range []string{own, "zone", "region", "far"} {
-		w.answers[name] = answered(500)
+		d.answers[name] = answered(500)
 	}
-	answer, err := w.serve()
+	answer, err := d.serve()
 	require.Nil(t, err)
 	require.Equal(t, 500, answer.Status)
-	require.Len(t, w.offered, w.route.MaxTargets)
+	require.Len(t, d.attempted, d.route.MaxTargets)
 }
 
-// Every backend server fails at a burst. Repeats must end when the node's share
-// of the budget is used up, or they double the load on servers that are down.
-func TestRepeatsEndWithTheBudget(t *testing.T) {
-	w := newWorld(t, true)
+// All backend servers fail during a burst. Retries must end when the node's share of the
+// budget is used up, as they would otherwise double the load on servers that are down.
+func TestRetriesEndWithBudget(t *testing.T) {
+	d := newDeployment(t, true)
 	for _, name := range []string{own, "zone", "region", "far"} {
-		w.answers[name] = answered(500)
+		d.answers[name] = answered(500)
 	}
 	const requests = 200
 	for range requests {
-		_, _ = w.serve()
+		_, _ = d.serve()
 	}
-	repeats := len(w.offered) - requests
-	// A share of the ratio, and half of a quarter of the slack.
-	require.LessOrEqual(t, float64(repeats), 0.2*requests+10)
-	require.Greater(t, repeats, 10)
+	retries := len(d.attempted) - requests
+	// The ratio's part, and a share of the slack: half of a quarter of 80.
+	require.LessOrEqual(t, float64(retries), 0.2*requests+10)
+	require.Greater(t, retries, 10)
 }
 
-// The own zone's target has a queue. A small request is worth its bytes to the
-// next zone; an upload of a megabyte to another region never is.
-func TestBytesKeepUploadsNearHome(t *testing.T) {
-	w := newWorld(t, false)
-	w.busy(6, own, "zone")
-	_, err := w.serve()
+// The target in the node's own zone has a queue. A small request may go to the next zone, but
+// an upload of a megabyte must not go to another region.
+func TestLargeUploadStaysInRegion(t *testing.T) {
+	d := newDeployment(t, false)
+	d.setBusy(6, own, "zone")
+	_, err := d.serve()
 	require.Nil(t, err)
-	require.Equal(t, []string{"region"}, w.offered)
-	w.busy(6, "region")
-	w.offered = nil
-	_, err = w.entry.Serve(t.Context(), w.request(1<<20))
+	require.Equal(t, []string{"region"}, d.attempted)
+	d.setBusy(6, "region")
+	d.attempted = nil
+	_, err = d.entry.Serve(t.Context(), d.request(1<<20))
 	require.Nil(t, err)
-	require.NotContains(t, w.offered, "far")
+	require.NotContains(t, d.attempted, "far")
 }
 
-// A target is slowed by its neighbours at this moment, and says so. Its free
-// slots are no reason to choose it.
-// Under load, requests wait for a slot for longer than they then take. Taken for work,
-// the wait would make every request look late from the start, and the guards' queues would
-// put none before another.
-func TestTheWaitForASlotIsNoWork(t *testing.T) {
-	w := newWorld(t, true)
-	var told time.Duration
-	w.targets = w.targets[:1]
-	w.publish()
-	w.answers[own] = func(r *mesh.Request) (*mesh.Answer, *kind.Error) {
-		told = r.Work
-		w.now += 400 * time.Millisecond
+// Under load, requests wait for a slot longer than they then run. If the wait counted as
+// service time, every request would seem to be late from the start, and the order in the
+// guards' queues would be lost.
+func TestQueueWaitIsNotServiceTime(t *testing.T) {
+	d := newDeployment(t, true)
+	var baseServiceTime time.Duration
+	d.targets = d.targets[:1]
+	d.publishView()
+	d.answers[own] = func(r *mesh.Request) (*mesh.Answer, *kind.Error) {
+		baseServiceTime = r.Work
+		d.now += 400 * time.Millisecond
 		return &mesh.Answer{Status: 200, Header: http.Header{}, Work: 100 * time.Millisecond}, nil
 	}
 	for range 20 {
-		_, err := w.serve()
+		_, err := d.serve()
 		require.Nil(t, err)
 	}
-	require.Equal(t, 100*time.Millisecond, told)
+	require.Equal(t, 100*time.Millisecond, baseServiceTime)
 }
 
-func TestASlowedTargetIsPassedOver(t *testing.T) {
-	w := newWorld(t, true)
-	w.targets = w.targets[1:3]
-	w.targets[0].Stat.Report(mesh.Load{Slots: 6, Slowdown: 4}, w.now)
-	w.targets[1].Stat.Report(mesh.Load{Running: 2, Slots: 6, Slowdown: 1}, w.now)
-	w.publish()
-	_, err := w.serve()
+// A target reports that its neighbours slow it down. It must not be chosen for its free
+// slots.
+func TestSlowedTargetIsAvoided(t *testing.T) {
+	d := newDeployment(t, true)
+	d.targets = d.targets[1:3]
+	d.targets[0].Stat.Report(mesh.Load{Slots: 6, Slowdown: 4}, d.now)
+	d.targets[1].Stat.Report(mesh.Load{Running: 2, Slots: 6, Slowdown: 1}, d.now)
+	d.publishView()
+	_, err := d.serve()
 	require.Nil(t, err)
-	require.Equal(t, []string{"region"}, w.offered)
+	require.Equal(t, []string{"region"}, d.attempted)
 }
 
-// A refusal tells how long the wait would be. A request that found every target
-// full waits at the one with the shortest queue, for as long as it has time.
-func TestARequestThatAllRefusedWaitsWhereItIsShortest(t *testing.T) {
-	w := newWorld(t, false)
+// A refusal reports how long the wait would be. A request that all targets refused must wait
+// at the one with the shortest queue, as long as its deadline allows.
+func TestRequestRefusedByAllWaitsInShortestQueue(t *testing.T) {
+	d := newDeployment(t, false)
 	waits := map[string]time.Duration{own: 400 * time.Millisecond, "zone": 100 * time.Millisecond, "region": 300 * time.Millisecond, "far": 500 * time.Millisecond}
 	for name, wait := range waits {
-		w.answers[name] = func(r *mesh.Request) (*mesh.Answer, *kind.Error) {
+		d.answers[name] = func(r *mesh.Request) (*mesh.Answer, *kind.Error) {
 			if r.Patience > wait {
 				return answered(200)(r)
 			}
 			return nil, &kind.Error{Kind: kind.Overloaded, Wait: wait}
 		}
 	}
-	answer, err := w.serve()
+	answer, err := d.serve()
 	require.Nil(t, err)
 	require.Equal(t, 200, answer.Status)
-	require.Equal(t, "zone", w.offered[len(w.offered)-1])
+	require.Equal(t, "zone", d.attempted[len(d.attempted)-1])
 }
 
-// The nearest target has a queue longer than the request can wait, another region's has free
-// slots. Bytes are dear, but refused for the queue at home the request would be lost.
-func TestWhatAnyTargetCanServeInTimeIsNotRefused(t *testing.T) {
-	w := newWorld(t, false)
-	w.entry.SetPrices(entry.Prices{ZonePerKB: time.Second, RegionPerKB: 10 * time.Second})
-	w.busy(200, own, "zone", "region")
-	answer, err := w.serve()
+// The nearest target has a queue longer than the request can wait; one in another region has
+// free slots. The penalty for bytes is high, but a refusal would be worse.
+func TestRequestIsNotRefusedIfAnyTargetCanServeInTime(t *testing.T) {
+	d := newDeployment(t, false)
+	d.entry.SetPrices(entry.Prices{ZonePerKB: time.Second, RegionPerKB: 10 * time.Second})
+	d.setBusy(200, own, "zone", "region")
+	answer, err := d.serve()
 	require.Nil(t, err)
 	require.Equal(t, 200, answer.Status)
-	require.Equal(t, []string{"far"}, w.offered)
+	require.Equal(t, []string{"far"}, d.attempted)
 }
 
-// Both targets answer before the deadline, the nearer one most likely after the aim, as its
-// queue is long. What the bytes cost is less than a late answer does; where both answer in
-// time, the request stays near.
-func TestARequestLeavesHomeOnlyForAnAnswerInTime(t *testing.T) {
-	w := newWorld(t, true)
-	w.targets = []*mesh.Target{w.targets[0], w.targets[3]}
-	w.publish()
-	w.entry.SetPrices(entry.Prices{ZonePerKB: 10 * time.Millisecond, RegionPerKB: 80 * time.Millisecond})
-	w.load = mesh.Load{Running: 6, Waiting: 6, Slots: 6, Service: 100 * time.Millisecond, Slowdown: 1}
-	w.route.Aim = 150 * time.Millisecond
-	_, err := w.serve()
+// Both targets answer before the deadline, but the nearer one has a long queue and probably
+// answers after the latency objective. The penalty for bytes is lower than that for a late
+// answer. If both answer in time, the request must stay near.
+func TestRequestLeavesZoneOnlyForAnswerInTime(t *testing.T) {
+	d := newDeployment(t, true)
+	d.targets = []*mesh.Target{d.targets[0], d.targets[3]}
+	d.publishView()
+	d.entry.SetPrices(entry.Prices{ZonePerKB: 10 * time.Millisecond, RegionPerKB: 80 * time.Millisecond})
+	d.load = mesh.Load{Running: 6, Waiting: 6, Slots: 6, Service: 100 * time.Millisecond, Slowdown: 1}
+	d.route.Aim = 150 * time.Millisecond
+	_, err := d.serve()
 	require.Nil(t, err)
-	require.Equal(t, []string{"far"}, w.offered)
-	w.offered, w.route.Aim = nil, 900*time.Millisecond
-	_, err = w.serve()
+	require.Equal(t, []string{"far"}, d.attempted)
+	d.attempted, d.route.Aim = nil, 900*time.Millisecond
+	_, err = d.serve()
 	require.Nil(t, err)
-	require.Equal(t, []string{own}, w.offered)
+	require.Equal(t, []string{own}, d.attempted)
 }
 
-// A request goes to the target at home, whose neighbours slow it the next moment. Bytes to the
-// other target are dear, and for the sake of them the request would wait at home until its
-// answer is late. It waits for as long as it can still be in time, and then goes.
-func TestNoRequestWaitsUntilItIsLateToSaveBytes(t *testing.T) {
-	w := newWorld(t, true)
-	w.targets = []*mesh.Target{w.targets[0], w.targets[3]}
-	w.publish()
-	w.entry.SetPrices(entry.Prices{ZonePerKB: 10 * time.Millisecond, RegionPerKB: 200 * time.Millisecond})
-	w.route.Aim, w.route.Timeout = 300*time.Millisecond, 5*time.Second
-	var patience time.Duration
-	w.answers[own] = func(r *mesh.Request) (*mesh.Answer, *kind.Error) {
-		patience = r.Patience
+// Neighbours slow the local target down right after a request was sent to it. Bytes to the
+// other target have a high penalty, so that the request would wait locally until its answer is
+// late. It must wait only as long as its answer can still be in time, and then be free to go
+// to the other target.
+func TestQueueTimeoutEndsBeforeAnswerIsLate(t *testing.T) {
+	d := newDeployment(t, true)
+	d.targets = []*mesh.Target{d.targets[0], d.targets[3]}
+	d.publishView()
+	d.entry.SetPrices(entry.Prices{ZonePerKB: 10 * time.Millisecond, RegionPerKB: 200 * time.Millisecond})
+	d.route.Aim, d.route.Timeout = 300*time.Millisecond, 5*time.Second
+	var queueTimeout time.Duration
+	d.answers[own] = func(r *mesh.Request) (*mesh.Answer, *kind.Error) {
+		queueTimeout = r.Patience
 		return answered(200)(r)
 	}
-	_, err := w.serve()
+	_, err := d.serve()
 	require.Nil(t, err)
-	require.Equal(t, []string{own}, w.offered)
-	require.Positive(t, patience)
-	require.Less(t, patience, w.route.Aim)
+	require.Equal(t, []string{own}, d.attempted)
+	require.Positive(t, queueTimeout)
+	require.Less(t, queueTimeout, d.route.Aim)
 }
 
-// Every queue is longer than the request can wait. It is refused at once, with the
-// time after which asking again can help, and not held until its deadline.
-func TestWhatCannotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
-	w := newWorld(t, false)
-	w.busy(200, own, "zone", "region", "far")
+// Every queue is longer than the request can wait. It must be refused at once, with the time
+// after which a retry can succeed, and not be held until its deadline.
+func TestRequestIsRefusedAtOnceIfAllQueuesAreTooLong(t *testing.T) {
+	d := newDeployment(t, false)
+	d.setBusy(200, own, "zone", "region", "far")
 	for _, name := range []string{own, "zone", "region", "far"} {
-		w.answers[name] = func(*mesh.Request) (*mesh.Answer, *kind.Error) {
+		d.answers[name] = func(*mesh.Request) (*mesh.Answer, *kind.Error) {
 			return nil, &kind.Error{Kind: kind.Overloaded, Wait: 3 * time.Second}
 		}
 	}
-	_, err := w.serve()
+	_, err := d.serve()
 	require.Equal(t, kind.Overloaded, err.Kind)
 	require.Equal(t, kind.NotRun, err.Said())
 	require.Greater(t, err.RetryAfter, time.Second)
 }
 
-// A node got the signal to stop and its callers keep their connections. A booking
-// taken shortly before the end would be cut off midway.
-func TestARequestThatMayOutlastTheProcessIsRefused(t *testing.T) {
-	w := newWorld(t, false)
-	w.entry.Stop(w.now + 5600*time.Millisecond)
-	_, err := w.serve()
-	require.Nil(t, err, "callers don't know yet")
-	w.now += 4 * time.Second
-	_, err = w.serve()
-	require.Nil(t, err, "it will be over in time")
-	w.now += time.Second
-	w.offered = nil
-	_, err = w.serve()
+// A node got the signal to stop and its callers keep their connections. A request that must
+// run at most once and is accepted shortly before the end would be cut off while it runs.
+func TestRequestThatMayOutlastProcessIsRefused(t *testing.T) {
+	d := newDeployment(t, false)
+	d.entry.Stop(d.now + 5600*time.Millisecond)
+	_, err := d.serve()
+	require.Nil(t, err, "callers don't know yet that the node stops")
+	d.now += 4 * time.Second
+	_, err = d.serve()
+	require.Nil(t, err, "the request completes before the process ends")
+	d.now += time.Second
+	d.attempted = nil
+	_, err = d.serve()
 	require.Equal(t, kind.Leaving, err.Kind)
 	require.Equal(t, kind.NotRun, err.Said())
-	require.Empty(t, w.offered)
+	require.Empty(t, d.attempted)
 }
 
-// Many callers leave before they are answered. The targets that ran their requests
-// must not pass for failing because of it.
-func TestACallerThatLeavesIsNoFailureOfTheTarget(t *testing.T) {
-	w := newWorld(t, true)
-	w.targets = w.targets[:1]
-	w.publish()
+// Many callers disconnect before they are answered. The targets that ran their requests must
+// not be counted as failing.
+func TestCallerDisconnectIsNotTargetFailure(t *testing.T) {
+	d := newDeployment(t, true)
+	d.targets = d.targets[:1]
+	d.publishView()
 	ctx, cancel := context.WithCancel(t.Context())
-	w.answers[own] = func(*mesh.Request) (*mesh.Answer, *kind.Error) {
+	d.answers[own] = func(*mesh.Request) (*mesh.Answer, *kind.Error) {
 		cancel()
 		return nil, kind.New(kind.OutcomeUnknown, "the caller left").Because(context.Canceled)
 	}
-	_, err := w.entry.Serve(ctx, w.request(0))
+	_, err := d.entry.Serve(ctx, d.request(0))
 	require.Equal(t, kind.OutcomeUnknown, err.Kind)
-	estimate := w.targets[0].Stat.Estimate(w.now)
-	require.Zero(t, estimate.Failing)
+	estimate := d.targets[0].Stat.Estimate(d.now)
+	require.Zero(t, estimate.FailureRate)
 	require.Zero(t, estimate.Busy)
 }
 
-// A node was killed and starts while the store is away. It refuses what comes until a
-// neighbour has told it what is in force. Told to come back after no time at all, its
-// callers asked it hundreds of times in the second that it needed.
-func TestANodeThatKnowsNothingSaysWhenToComeBack(t *testing.T) {
-	w := newWorld(t, true)
-	e := entry.New(entry.Config{Observer: observer{}, Now: func() time.Duration { return w.now }})
-	_, err := e.Serve(t.Context(), w.request(0))
+// A node restarts after a kill while the store is unavailable, and refuses requests until
+// another node has sent it the configuration in force. With a Retry-After of 0, its callers
+// retried hundreds of times in the second that this took.
+func TestNodeWithoutConfigurationSendsRetryAfter(t *testing.T) {
+	d := newDeployment(t, true)
+	e := entry.New(entry.Config{Observer: observer{}, Now: func() time.Duration { return d.now }})
+	_, err := e.Serve(t.Context(), d.request(0))
 	require.Equal(t, kind.NotReady, err.Kind)
 	require.Equal(t, kind.NotRun, err.Said())
 	require.GreaterOrEqual(t, err.RetryAfter, 100*time.Millisecond)
 }
 
-func TestWithoutARouteOrConfiguration(t *testing.T) {
-	w := newWorld(t, true)
-	r := w.request(0)
+func TestRequestWithoutRouteOrConfigurationIsRefused(t *testing.T) {
+	d := newDeployment(t, true)
+	r := d.request(0)
 	r.Host = "nowhere"
-	_, err := w.entry.Serve(t.Context(), r)
+	_, err := d.entry.Serve(t.Context(), r)
 	require.Equal(t, kind.UnknownService, err.Kind)
 	empty := entry.New(entry.Config{Observer: observer{}, Now: func() time.Duration { return 0 }})
 	_, err = empty.Serve(t.Context(), r)
 	require.Equal(t, kind.NotReady, err.Kind)
 }
 
-func TestTheShorterOfCallersAndRoutesTimeHolds(t *testing.T) {
-	w := newWorld(t, true)
-	var left time.Duration
-	w.answers[own] = func(r *mesh.Request) (*mesh.Answer, *kind.Error) {
-		left = r.Left
+func TestShorterOfCallerAndRouteTimeoutApplies(t *testing.T) {
+	d := newDeployment(t, true)
+	var remaining time.Duration
+	d.answers[own] = func(r *mesh.Request) (*mesh.Answer, *kind.Error) {
+		remaining = r.Left
 		return answered(200)(r)
 	}
-	r := w.request(0)
+	r := d.request(0)
 	r.Timeout = 5 * time.Second
-	_, err := w.entry.Serve(t.Context(), r)
+	_, err := d.entry.Serve(t.Context(), r)
 	require.Nil(t, err)
-	require.LessOrEqual(t, left, time.Second)
+	require.LessOrEqual(t, remaining, time.Second)
 	r.Timeout = 200 * time.Millisecond
-	_, err = w.entry.Serve(t.Context(), r)
+	_, err = d.entry.Serve(t.Context(), r)
 	require.Nil(t, err)
-	require.LessOrEqual(t, left, 200*time.Millisecond)
+	require.LessOrEqual(t, remaining, 200*time.Millisecond)
 }
--- a/internal/mesh/entry/run.go
+++ b/internal/mesh/entry/run.go
@@ -15,66 +15,66 @@
 )
 
 const (
-	// maxOffers bounds the guards one request is offered to, whatever they say. A
-	// refusal of a guard runs nothing and takes a round trip.
-	maxOffers = 6
-	// minPatience is the wait that is never worth a hop to another node.
-	minPatience = 15 * time.Millisecond
-	// answerMargin is kept off the time that a guard is given, so that its own
-	// answer, which knows whether the request has run, comes before the deadline.
+	// maxAttempts bounds the attempts of one request, whatever their outcomes. A refusal by a
+	// guard runs nothing and costs one round trip.
+	maxAttempts = 6
+	// minQueueTimeout is the wait that is always shorter than the detour to another node.
+	minQueueTimeout = 15 * time.Millisecond
+	// answerMargin is subtracted from the time that a guard gets, so that its own answer,
+	// which reports whether the request has run, arrives before the deadline.
 	answerMargin = 40 * time.Millisecond
-	// avoidUnreachable is how long a target is passed over that no connection could
-	// be opened to; avoidLeaving one that said it takes no more.
+	// avoidUnreachable is how long a target to which no connection could be opened is avoided,
+	// and avoidLeaving one that reported that it accepts no new requests.
 	avoidUnreachable = time.Second
 	avoidLeaving     = 2 * time.Second
-	// leastRefused is the wait assumed at a target that refused without telling one:
-	// about half of what a slot is usually held for.
-	leastRefused = 40 * time.Millisecond
-	// leastLeft is the time under which a request isn't offered any more.
-	leastLeft = 10 * time.Millisecond
+	// assumedRefusalWait is the wait assumed at a target that refused the request without
+	// reporting a wait: about half of a typical service time.
+	assumedRefusalWait = 40 * time.Millisecond
+	// minRemaining is the remaining time below which no further attempt is made.
+	minRemaining = 10 * time.Millisecond
 )
 
-// run offers the request to targets until one answers or nothing more may be tried.
-func (t *trip) run(ctx context.Context) (*mesh.Answer, *kind.Error) {
+// run sends the request to targets until one answers or no further attempt is allowed.
+func (t *transaction) run(ctx context.Context) (*mesh.Answer, *kind.Error) {
 	var last *kind.Error
-	for range maxOffers {
-		if ctx.Err() != nil || t.deadline-t.entry.Now() < leastLeft {
+	for range maxAttempts {
+		if ctx.Err() != nil || t.deadline-t.entry.Now() < minRemaining {
 			break
 		}
-		c, patience, refusal := t.next()
+		c, queueTimeout, refusal := t.next()
 		if refusal != nil {
 			if last == nil || last.Said() == kind.NotRun {
 				last = refusal
 			}
 			break
 		}
-		answer, err := t.offer(ctx, c, patience)
-		if err == nil && !t.repeatable(answer) {
+		answer, err := t.send(ctx, c, queueTimeout)
+		if err == nil && !t.mayRetry(answer) {
 			return answer, nil
 		}
 		if err == nil {
-			// A failure of the backend server's own: if nothing better comes, it stands.
-			if again, _ := t.again(ctx); again != nil {
-				return again, nil
+			// The backend server itself failed. Without a better answer this one is returned.
+			if retried, _ := t.retry(ctx); retried != nil {
+				return retried, nil
 			}
 			return answer, nil
 		}
 		last = err
-		if !t.mayGoOn(err) {
+		if !t.mayFailOver(err) {
 			break
 		}
 		t.entry.Observer.Hopped(t.service, err.Kind)
 	}
-	return nil, t.conclude(last)
+	return nil, t.finalError(last)
 }
 
-// again offers an idempotent request that a backend server failed once more.
-func (t *trip) again(ctx context.Context) (*mesh.Answer, *kind.Error) {
-	c, patience, refusal := t.next()
+// retry sends an idempotent request that a backend server failed to one more target.
+func (t *transaction) retry(ctx context.Context) (*mesh.Answer, *kind.Error) {
+	c, queueTimeout, refusal := t.next()
 	if refusal != nil {
 		return nil, refusal
 	}
-	answer, err := t.offer(ctx, c, patience)
+	answer, err := t.send(ctx, c, queueTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -84,60 +84,60 @@
 	return answer, nil
 }
 
-// next gives the best target and how long the request may wait there.
-func (t *trip) next() (candidate, time.Duration, *kind.Error) {
+// next returns the best target and how long the request may wait in its queue.
+func (t *transaction) next() (candidate, time.Duration, *kind.Error) {
 	list := t.candidates()
 	if len(list) == 0 {
 		return candidate{}, 0, kind.New(kind.NoTarget, "no target can take the request")
 	}
-	left := t.deadline - t.entry.Now() - answerMargin
-	soonest := slices.MinFunc(list, func(a, b candidate) int { return cmp.Compare(a.wait, b.wait) }).wait
-	list = slices.DeleteFunc(list, func(c candidate) bool { return c.wait+c.forecast.Work/2 > left })
+	remaining := t.deadline - t.entry.Now() - answerMargin
+	shortestWait := slices.MinFunc(list, func(a, b candidate) int { return cmp.Compare(a.wait, b.wait) }).wait
+	list = slices.DeleteFunc(list, func(c candidate) bool { return c.wait+c.forecast.ExpectedServiceTime/2 > remaining })
 	if len(list) == 0 {
 		e := kind.New(kind.Overloaded, "the wait at every target is longer than the deadline")
-		e.RetryAfter = soonest
+		e.RetryAfter = shortestWait
 		return candidate{}, 0, e
 	}
 	best := list[0]
-	if len(list) == 1 || len(t.offers) >= maxOffers-1 {
-		return best, left, nil
+	if len(list) == 1 || len(t.attempts) >= maxAttempts-1 {
+		return best, remaining, nil
 	}
-	return best, min(t.patience(best, list[1]), left), nil
+	return best, min(t.queueTimeout(best, list[1]), remaining), nil
 }
 
-// patienceSteps is how often the span of a patience is halved to find it.
-const patienceSteps = 6
+// queueTimeoutSteps is the number of bisection steps by which a queue timeout is found.
+const queueTimeoutSteps = 6
 
-// patience gives how long a request may wait at the best target before the next one is the
-// better: for as long as that costs more, the chance counted that the wait makes the
-// answer late.
-func (t *trip) patience(best, next candidate) time.Duration {
-	margin := max(next.cost-best.cost, minPatience)
-	now := t.entry.Now() + wayTo[best.target.Distance]
-	risk := t.risk(best.forecast, now)
-	least, most := minPatience, margin
-	for range patienceSteps {
-		wait := (least + most) / 2
-		if wait+t.risk(best.forecast, now+wait)-risk <= margin {
-			least = wait
+// queueTimeout returns how long a request may wait at the best target before the next one
+// becomes better: until the wait, with the growing risk of a late answer, exceeds the
+// difference of their scores.
+func (t *transaction) queueTimeout(best, next candidate) time.Duration {
+	margin := max(next.score-best.score, minQueueTimeout)
+	now := t.entry.Now() + rttTo[best.target.Distance]
+	initialPenalty := t.riskPenalty(best.forecast, now)
+	low, high := minQueueTimeout, margin
+	for range queueTimeoutSteps {
+		wait := (low + high) / 2
+		if wait+t.riskPenalty(best.forecast, now+wait)-initialPenalty <= margin {
+			low = wait
 		} else {
-			most = wait
+			high = wait
 		}
 	}
-	return best.wait + least
+	return best.wait + low
 }
 
-// offer sends the request to a target and takes what comes as evidence.
-func (t *trip) offer(ctx context.Context, c candidate, patience time.Duration) (*mesh.Answer, *kind.Error) {
+// send sends the request to a target and records the outcome.
+func (t *transaction) send(ctx context.Context, c candidate, queueTimeout time.Duration) (*mesh.Answer, *kind.Error) {
 	e := t.entry
 	start := e.Now()
-	_, work := t.stat.expect()
+	_, baseServiceTime := t.stats.expected()
 	r := &mesh.Request{
 		ID: t.in.ID, Method: t.in.Method, URI: t.in.URI, Host: t.in.Host, Header: t.in.Header.Clone(), Body: t.in.Body,
 		Caller: e.Here.Service, Service: t.service, Target: c.target.ID,
 		Idempotent: t.route.Idempotent, Priority: t.route.Priority,
-		Left: t.deadline - start - answerMargin/2 - wayTo[c.target.Distance]/2, Patience: patience,
-		Work: work, AimLeft: t.aim - start - wayTo[c.target.Distance],
+		Left: t.deadline - start - answerMargin/2 - rttTo[c.target.Distance]/2, Patience: queueTimeout,
+		Work: baseServiceTime, AimLeft: t.objective - start - rttTo[c.target.Distance],
 	}
 	c.target.Stat.Begin()
 	var answer *mesh.Answer
@@ -148,121 +148,124 @@
 		answer, err = e.Peers.Run(ctx, c.target.Peer, r)
 	}
 	took := e.Now() - start
-	t.note(c, answer, err, took)
+	t.recordAttempt(c, answer, err, took)
 	return answer, err
 }
 
-// note takes the outcome of an offer as evidence about the target.
-func (t *trip) note(c candidate, answer *mesh.Answer, err *kind.Error, took time.Duration) {
+// recordAttempt records the outcome of an attempt for this request and for the target.
+func (t *transaction) recordAttempt(c candidate, answer *mesh.Answer, err *kind.Error, took time.Duration) {
 	now := t.entry.Now()
-	o := offer{target: c.target, took: took, expected: wayTo[c.target.Distance] + c.wait + c.forecast.Work}
+	a := attempt{target: c.target, took: took, expected: rttTo[c.target.Distance] + c.wait + c.forecast.ExpectedServiceTime}
 	if err == nil {
 		t.sent++
 		failed := answer.Status >= http.StatusInternalServerError
 		if !failed {
-			t.entry.Observer.Forecast(t.service, o.expected, took)
+			t.entry.Observer.Forecast(t.service, a.expected, took)
 		}
 		c.target.Stat.End(now, failed, true)
 		if answer.Work > 0 {
-			t.stat.learn(len(answer.Body), answer.Work)
+			t.stats.add(len(answer.Body), answer.Work)
 		}
-		t.offers = append(t.offers, o)
+		t.attempts = append(t.attempts, a)
 		return
 	}
-	o.kind = err.Kind
-	t.offers = append(t.offers, o)
+	a.kind = err.Kind
+	t.attempts = append(t.attempts, a)
 	if err.Said() != kind.NotRun {
 		t.sent++
 	}
-	t.blame(c.target, err, now)
+	t.recordError(c.target, err, now)
 }
 
-// blame decides what an error says of the target.
-func (t *trip) blame(target *mesh.Target, err *kind.Error, now time.Duration) {
+// recordError records what an error shows about the target.
+func (t *transaction) recordError(target *mesh.Target, err *kind.Error, now time.Duration) {
 	if errors.Is(err.Cause, context.Canceled) {
-		// That the caller left says nothing about the target.
+		// A caller that disconnects shows nothing about the target.
 		target.Stat.End(now, false, false)
 		return
 	}
-	failed, telling := false, true
+	failed, conclusive := false, true
 	switch err.Kind {
 	case kind.Unreachable:
 		failed = true
 		target.Stat.Avoid(now + avoidUnreachable)
 	case kind.Leaving, kind.NotReady, kind.StaleConfig, kind.StaleAttempt:
-		telling = false
+		conclusive = false
 		target.Stat.Avoid(now + avoidLeaving)
 	case kind.Overloaded:
-		telling = false
-		// Refused again it counts double, so that a guard which tells no wait isn't
-		// asked over and over while another has room.
-		t.refusals[target.ID] = max(err.Wait, leastRefused) + t.refusals[target.ID]
+		conclusive = false
+		// Repeated refusals add up, so that a guard that reports no wait isn't asked again and
+		// again while another target has room.
+		t.refusals[target.ID] = max(err.Wait, assumedRefusalWait) + t.refusals[target.ID]
 	case kind.BackendBroken, kind.OutcomeUnknown:
 		failed = true
 	case kind.DeadlineUnknown:
-		// Late is a failure only of one that never answers; a slow one shows in its load.
-		telling = now >= t.deadline
-		failed = telling
+		// Only a target that doesn't answer before the deadline has failed; a slow target is
+		// recognised by its load report.
+		conclusive = now >= t.deadline
+		failed = conclusive
 	default:
-		telling = false
+		conclusive = false
 	}
-	target.Stat.End(now, failed, telling)
+	target.Stat.End(now, failed, conclusive)
 }
 
-// refusedBusy says whether a target only had no room, so that it may be asked again.
-func refusedBusy(k kind.Kind) bool { return k == kind.Overloaded }
+// refusedForLoad reports whether a target refused only for lack of capacity, so that it may be
+// asked again.
+func refusedForLoad(k kind.Kind) bool { return k == kind.Overloaded }
 
-// repeatable says whether an answer is a failure that another target may mend.
-func (t *trip) repeatable(a *mesh.Answer) bool {
+// mayRetry reports whether an answer is a failure after which another target may be tried. It
+// then takes a retry from the budget.
+func (t *transaction) mayRetry(a *mesh.Answer) bool {
 	if a.Status < http.StatusInternalServerError || !t.route.Idempotent || t.sent >= t.route.MaxTargets {
 		return false
 	}
-	return t.entry.repeats(t.service).Repeat(t.entry.Now())
+	return t.entry.retryBudget(t.service).Repeat(t.entry.Now())
 }
 
-// mayGoOn says whether the request may be offered to another target after err.
-func (t *trip) mayGoOn(err *kind.Error) bool {
+// mayFailOver reports whether the request may be sent to another target after err.
+func (t *transaction) mayFailOver(err *kind.Error) bool {
 	if !err.MayMove(t.route.Idempotent) || t.sent >= max(t.route.MaxTargets, 1) {
 		return false
 	}
 	if err.FromBackend || err.Said() != kind.NotRun {
-		// Only what reached a backend server counts as a repeat there.
-		return t.entry.repeats(t.service).Repeat(t.entry.Now())
+		// Only requests that reached a backend server count against the retry budget.
+		return t.entry.retryBudget(t.service).Repeat(t.entry.Now())
 	}
 	return true
 }
 
-// conclude gives the final answer: the last trouble, weakened to unknown when
-// any target may have run the request.
-func (t *trip) conclude(last *kind.Error) *kind.Error {
+// finalError returns the error for the caller: the last one, with an unknown outcome if any
+// target may have run the request.
+func (t *transaction) finalError(last *kind.Error) *kind.Error {
 	if last == nil {
-		last = kind.New(kind.DeadlineNotRun, "the deadline passed before a target could be asked")
+		last = kind.New(kind.DeadlineNotRun, "the deadline passed before a target could be tried")
 	}
 	if t.sent > 0 {
 		last.Outcome = kind.Unknown
 	}
 	if last.Said() == kind.NotRun && last.RetryAfter == 0 {
-		last.RetryAfter = t.comeBack()
+		last.RetryAfter = t.retryAfter()
 	}
 	return last
 }
 
 const (
-	// comeBackLeast is the shortest time after which a refused caller is asked to
-	// come back, and comeBackSpread the most that is added at random.
-	comeBackLeast  = 100 * time.Millisecond
-	comeBackSpread = 200 * time.Millisecond
+	// minRetryAfter is the shortest time after which a refused caller is asked to retry, and
+	// retryAfterSpread the longest random time that is added.
+	minRetryAfter    = 100 * time.Millisecond
+	retryAfterSpread = 200 * time.Millisecond
 )
 
-// comeBack estimates when a target will have room.
-func (t *trip) comeBack() time.Duration {
+// retryAfter estimates when a target will have room.
+func (t *transaction) retryAfter() time.Duration {
 	wait := time.Duration(0)
 	if list := t.candidates(); len(list) > 0 {
 		wait = list[0].wait
 	}
-	return spread(max(wait, comeBackLeast))
+	return randomize(max(wait, minRetryAfter))
 }
 
-// spread adds a random time to a wait, so that those who are refused together don't
-// return together.
-func spread(wait time.Duration) time.Duration { return wait + rand.N(comeBackSpread) }
+// randomize adds a random time to a wait, so that callers that are refused together don't
+// retry together.
+func randomize(wait time.Duration) time.Duration { return wait + rand.N(retryAfterSpread) }
