--- a/internal/mesh/model/server.go
+++ b/internal/mesh/model/server.go
@@ -1,6 +1,6 @@
-// Package model has backend servers and callers that run in the time of their test or
-// experiment, without a network: what decisions about load are tried on. In a bubble of
-// testing/synctest minutes of a deployment take moments.
+// Package model simulates backend servers without a network, for tests and experiments on load
+// balancing decisions. Inside a testing/synctest bubble, minutes of simulated time take only
+// moments.
 package model
 
 import (
@@ -20,10 +20,10 @@
 	"github.com/limpetdock/limpetdock/internal/mesh/exchange"
 )
 
-// HealthPath is where a Server tells its load.
+// HealthPath is the path at which a Server reports its load.
 const HealthPath = "/health"
 
-// Dialect is how a Server names headers and tells its load: "RUNNING SLOWDOWN".
+// Dialect defines the headers of a Server. It reports its load as "RUNNING SLOWDOWN".
 var Dialect = mesh.Dialect{
 	Headers: mesh.HeaderNames{
 		RequestID: "X-Id", TimeoutMs: "X-Timeout", Signature: "X-Signature", ExpectedTarget: "X-Expected",
@@ -36,58 +36,60 @@
 	},
 }
 
-// Backend says what a Server is like.
+// Backend describes the behaviour of a Server.
 type Backend struct {
-	// Slots is how many requests it runs at once, and Queue how many wait.
+	// Slots is how many requests it runs at once, and Queue how many may wait.
 	Slots, Queue int
-	// Knee is the share of the slots up to which requests run at full speed; a request
-	// that is started beyond takes KneeTimes as long. 0 is no knee.
+	// Knee is the share of the slots up to which requests run at full speed. A request that is
+	// started beyond it takes KneeFactor times as long. 0 means that there is no knee.
 	Knee, KneeTimes float64
-	// Neighbours take turns on its VM: in a Share of them work takes Times as long.
+	// Neighbours interfere from the same VM: in a Share of the periods requests take Factor
+	// times as long.
 	Neighbours Neighbours
-	// Cold is for how long after its start work takes ColdTimes as long.
+	// WarmUp is the time after the start in which requests take WarmUpFactor times as long.
 	Cold      time.Duration
 	ColdTimes float64
-	// Silent doesn't answer what it can't queue, nor anything else on that connection;
-	// others refuse it.
-	Silent bool
-	// Spread is the deviation of the logarithm of what requests of one route take.
+	// HangsWhenFull is true if the server doesn't answer a request that it can't queue, nor
+	// anything else on that connection. Otherwise it refuses such requests.
+	HangsWhenFull bool
+	// Spread is the standard deviation of the logarithm of the service times of one route.
 	Spread float64
 }
 
-// Neighbours are what else runs on a VM.
+// Neighbours is the interference by other processes on the same VM.
 type Neighbours struct {
 	Share, Times float64
 	Turn         time.Duration
 }
 
-// Work is how long the requests of a path prefix take.
+// ServiceTime is the mean base service time of the requests with a path prefix.
 type Work struct {
 	Prefix string
 	Mean   time.Duration
 }
 
-// Server is one backend server. Safe for concurrent use.
+// Server is a simulated backend server. Safe for concurrent use.
 type Server struct {
 	Backend
-	works   []Work
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	started time.Time
-	running int
-	queue   []chan struct{}
-	// turn is the number of the neighbours' last turn, and slow whether it is a slow one.
-	turn int64
-	slow bool
-	ran  int
+	serviceTimes []Work
+	mu           sync.Mutex
+	rnd          *rand.Rand
+	started      time.Time
+	running      int
+	queue        []chan struct{}
+	// period is the number of the current period of the neighbours, and slow is true if they
+	// interfere in it.
+	period int64
+	slow   bool
+	ran    int
 }
 
-// NewServer starts a backend server whose luck is drawn from a seed.
-func NewServer(b Backend, works []Work, seed uint64) *Server {
-	return &Server{Backend: b, works: works, rnd: rand.New(rand.NewPCG(seed, seed)), started: time.Now(), turn: -1}
+// NewServer starts a backend server whose random numbers are drawn from seed.
+func NewServer(b Backend, serviceTimes []Work, seed uint64) *Server {
+	return &Server{Backend: b, serviceTimes: serviceTimes, rnd: rand.New(rand.NewPCG(seed, seed)), started: time.Now(), period: -1}
 }
 
-// Ran gives how many requests it ran to their end.
+// Ran returns how many requests it has completed.
 func (s *Server) Ran() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,23 +97,23 @@
 }
 
 var (
-	errSilent = eris.New("no answer")
-	errLeft   = eris.New("the exchange was broken off")
+	errNoAnswer = eris.New("no answer")
+	errCanceled = eris.New("the exchange was broken off")
 )
 
-// Do makes an exchange as a client of the server would.
+// Do makes an exchange, as a client of the server would.
 func (s *Server) Do(ctx context.Context, m *exchange.Message, allow func() bool) (*mesh.Answer, *exchange.Failure) {
 	if m.URI == HealthPath {
 		return s.answer(m, http.StatusOK), nil
 	}
 	if !allow() {
-		return nil, &exchange.Failure{Outcome: exchange.NotSent, Cause: errLeft}
+		return nil, &exchange.Failure{Outcome: exchange.NotSent, Cause: errCanceled}
 	}
 	admitted, full := s.enter()
 	switch {
-	case full && s.Silent:
+	case full && s.HangsWhenFull:
 		<-ctx.Done()
-		return nil, &exchange.Failure{Outcome: exchange.Unknown, Cause: errSilent}
+		return nil, &exchange.Failure{Outcome: exchange.Unknown, Cause: errNoAnswer}
 	case full:
 		refusal := s.answer(m, http.StatusServiceUnavailable)
 		refusal.Header.Set(Dialect.Headers.NotRun, "1")
@@ -121,20 +123,20 @@
 	case <-admitted:
 	case <-ctx.Done():
 		s.leaveQueue(admitted)
-		return nil, &exchange.Failure{Outcome: exchange.Unknown, Cause: errLeft}
+		return nil, &exchange.Failure{Outcome: exchange.Unknown, Cause: errCanceled}
 	}
 	return s.run(ctx, m)
 }
 
-// run runs a request that has a slot.
+// run runs a request that holds a slot.
 func (s *Server) run(ctx context.Context, m *exchange.Message) (*mesh.Answer, *exchange.Failure) {
-	timer := time.NewTimer(s.takes(m.URI))
+	timer := time.NewTimer(s.drawServiceTime(m.URI))
 	defer timer.Stop()
 	defer s.leave()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
-		return nil, &exchange.Failure{Outcome: exchange.Unknown, Cause: errLeft}
+		return nil, &exchange.Failure{Outcome: exchange.Unknown, Cause: errCanceled}
 	}
 	s.mu.Lock()
 	s.ran++
@@ -142,7 +144,8 @@
 	return s.answer(m, http.StatusOK), nil
 }
 
-// enter gives a channel that tells of the slot, unless the server is full.
+// enter returns a channel that is signalled when the request gets a slot. full is true if
+// neither the slots nor the queue have room.
 func (s *Server) enter() (admitted chan struct{}, full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +162,7 @@
 	return admitted, false
 }
 
-// leave gives a slot back.
+// leave releases a slot.
 func (s *Server) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,35 +174,35 @@
 	s.queue = s.queue[1:]
 }
 
-// leaveQueue takes a request that was broken off out of the queue.
+// leaveQueue removes an abandoned request from the queue.
 func (s *Server) leaveQueue(admitted chan struct{}) {
 	s.mu.Lock()
-	for i, one := range s.queue {
-		if one == admitted {
+	for i, waiting := range s.queue {
+		if waiting == admitted {
 			s.queue = append(s.queue[:i], s.queue[i+1:]...)
 			s.mu.Unlock()
 			return
 		}
 	}
 	s.mu.Unlock()
-	// It was given a slot at the same moment.
+	// The request got a slot at the same moment.
 	s.leave()
 }
 
-// takes draws how long a request takes that starts now.
-func (s *Server) takes(uri string) time.Duration {
+// drawServiceTime draws the service time of a request that starts now.
+func (s *Server) drawServiceTime(uri string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	times := s.slowdown(time.Now()) * math.Exp(s.Spread*s.rnd.NormFloat64())
+	factor := s.slowdown(time.Now()) * math.Exp(s.Spread*s.rnd.NormFloat64())
 	if s.Knee > 0 && float64(s.running) > s.Knee*float64(s.Slots) {
-		times *= s.KneeTimes
+		factor *= s.KneeTimes
 	}
-	return time.Duration(times * float64(s.mean(uri)))
+	return time.Duration(factor * float64(s.meanServiceTime(uri)))
 }
 
-// mean gives how long the requests of a path usually take.
-func (s *Server) mean(uri string) time.Duration {
-	for _, w := range s.works {
+// meanServiceTime returns the mean base service time of requests for uri.
+func (s *Server) meanServiceTime(uri string) time.Duration {
+	for _, w := range s.serviceTimes {
 		if strings.HasPrefix(uri, w.Prefix) {
 			return w.Mean
 		}
@@ -207,24 +210,24 @@
 	return 0
 }
 
-// slowdown gives how many times as long work takes now, but for the knee. The mutex is
-// held.
+// slowdown returns the present ratio of service time to base service time, without the effect
+// of the knee. The mutex must be held.
 func (s *Server) slowdown(now time.Time) float64 {
 	age := now.Sub(s.started)
-	times := 1.0
+	factor := 1.0
 	if age < s.Cold {
-		times = s.ColdTimes
+		factor = s.ColdTimes
 	}
 	if s.Neighbours.Turn == 0 {
-		return times
+		return factor
 	}
-	for turn := int64(age / s.Neighbours.Turn); s.turn < turn; s.turn++ {
+	for period := int64(age / s.Neighbours.Turn); s.period < period; s.period++ {
 		s.slow = s.rnd.Float64() < s.Neighbours.Share
 	}
 	if s.slow {
-		times *= s.Neighbours.Times
+		factor *= s.Neighbours.Times
 	}
-	return times
+	return factor
 }
 
 func (s *Server) answer(m *exchange.Message, status int) *mesh.Answer {
