--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,6 +1,6 @@
-// Package stall tells a connection that stands still from one that is slow. A time
-// limit on a whole transfer can't: how long that takes depends on its size and on
-// the link.
+// Package stall detects connections on which a transfer makes no progress, as opposed to
+// slow ones. A time limit on a whole transfer can't distinguish the two: its duration
+// depends on its size and on the link.
 package stall
 
 import (
@@ -10,14 +10,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Acknowledger is a connection that counts the bytes its other end acknowledged.
+// Acknowledger is a connection that counts the bytes acknowledged by its peer.
 type Acknowledger interface {
 	Acknowledged() uint64
 }
 
-// Acknowledged gives how many bytes the other end of c has acknowledged since c was
-// opened, give or take one. It is 0 where that isn't known. Bytes that were written
-// and not acknowledged may stand in the kernel's buffer, a megabyte and more of them.
+// Acknowledged returns how many bytes the peer of c has acknowledged since c was opened,
+// accurate to one byte. It returns 0 if that is unknown. Bytes that were written but not
+// acknowledged may be in the kernel's send buffer, which can hold more than a megabyte.
 func Acknowledged(c net.Conn) uint64 {
 	if own, ok := c.(Acknowledger); ok {
 		return own.Acknowledged()
@@ -31,7 +31,7 @@
 		return 0
 	}
 	var acknowledged uint64
-	// A closed connection acknowledges nothing more.
+	// Control fails only on a closed connection, where 0 is returned.
 	_ = raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			acknowledged = info.Bytes_acked
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -11,8 +11,8 @@
 	"github.com/limpetdock/limpetdock/internal/stall"
 )
 
-// pair opens a connection on the loopback interface and gives both ends.
-func pair(t *testing.T) (near, far net.Conn) {
+// connect opens a connection on the loopback interface and returns both ends.
+func connect(t *testing.T) (near, far net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	near, err = net.Dial("tcp", l.Addr().String())
@@ -24,9 +24,9 @@
 	return near, far
 }
 
-// Guards against bytes in the kernel's buffer that count as arrived.
-func TestOnlyWhatArrivedIsAcknowledged(t *testing.T) {
-	near, far := pair(t)
+// Guards against bytes in the kernel's send buffer that count as acknowledged.
+func TestAcknowledgedExcludesBytesNotYetReceived(t *testing.T) {
+	near, far := connect(t)
 	opened := stall.Acknowledged(near)
 	written := make(chan int64, 1)
 	go func() {
@@ -45,12 +45,12 @@
 	}, time.Minute, time.Millisecond)
 }
 
-func TestNothingIsAcknowledgedWhereThatIsNotKnown(t *testing.T) {
+func TestAcknowledgedIsZeroWhereUnknown(t *testing.T) {
 	near, far := net.Pipe()
 	require.Zero(t, stall.Acknowledged(near))
 	require.NoError(t, near.Close())
 	require.NoError(t, far.Close())
-	closed, _ := pair(t)
+	closed, _ := connect(t)
 	require.NoError(t, closed.Close())
 	require.Zero(t, stall.Acknowledged(closed))
 }
