--- a/internal/progress/pace.go
+++ b/internal/progress/pace.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// Pace is the least pace of a transfer. A sender that gives a byte now and then never
-// stands still, and would otherwise be waited for without end.
+// Pace is the minimum pace of a transfer. Without it, a sender that sends a byte from time
+// to time would never count as stalled and could keep a transfer open indefinitely.
 type Pace struct {
-	// Stall is how long one piece may take, and how far the whole may fall behind Rate.
+	// StallTimeout is how long one piece may take, and how far the whole transfer may lag
+	// behind BytesPerSecond.
 	Stall time.Duration
-	// Rate is the least rate, in bytes per second.
+	// BytesPerSecond is the minimum rate.
 	Rate int64
 }
 
-// Next says how long the next piece may take once so many bytes have come in so much
-// time; 0 is a transfer that is too slow.
+// NextTimeout returns how long the next piece may take after the given number of bytes was
+// received in the given time. It returns 0 if the transfer is too slow.
 func (p Pace) Next(bytes int64, took time.Duration) time.Duration {
 	earned := time.Duration(bytes) * time.Second / time.Duration(p.Rate)
 	return max(0, min(p.Stall, p.Stall+earned-took))
 }
 
-// Paced returns a reader of r that feeds the Watchdog as long as r keeps the pace.
+// PacedReader returns a reader of r that feeds the Watchdog as long as r keeps the pace.
 func (w *Watchdog) Paced(r io.Reader, p Pace) io.Reader {
 	w.Feed(p.Stall)
-	return &pacedReader{from: r, watchdog: w, pace: p, begun: time.Now()}
+	return &pacedReader{source: r, watchdog: w, pace: p, start: time.Now()}
 }
 
 type pacedReader struct {
-	from     io.Reader
+	source   io.Reader
 	watchdog *Watchdog
 	pace     Pace
-	begun    time.Time
+	start    time.Time
 	read     int64
 }
 
 // Read implements io.Reader.
 func (r *pacedReader) Read(b []byte) (int, error) {
-	n, err := r.from.Read(b)
+	n, err := r.source.Read(b)
 	if n > 0 {
 		r.read += int64(n)
-		r.watchdog.Feed(r.pace.Next(r.read, time.Since(r.begun)))
+		r.watchdog.Feed(r.pace.Next(r.read, time.Since(r.start)))
 	}
 	return n, err
 }
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -12,7 +12,7 @@
 	"github.com/limpetdock/limpetdock/internal/progress"
 )
 
-// pieces gives a byte after each pause, then waits for ctx.
+// pieces is a reader that returns a byte after each pause, then waits for ctx.
 type pieces struct {
 	ctx    context.Context
 	pauses []time.Duration
@@ -33,23 +33,23 @@
 	}
 }
 
-func TestWatchdog(t *testing.T) {
-	const within = time.Second
-	slow := within - time.Millisecond
+func TestWatchdogLimitsTheTimeForEachPieceNotForTheWhole(t *testing.T) {
+	const timeout = time.Second
+	slow := timeout - time.Millisecond
 	for _, c := range []struct {
 		name   string
 		pauses []time.Duration
 		bytes  int
 	}{
-		{"nothing comes", nil, 0},
-		{"each piece in time, the whole in many times the limit", []time.Duration{slow, slow, slow, slow, slow, slow}, 6},
-		{"a piece is late", []time.Duration{slow, within + time.Millisecond, slow}, 1},
+		{"no data", nil, 0},
+		{"each piece in time, the whole takes many times the timeout", []time.Duration{slow, slow, slow, slow, slow, slow}, 6},
+		{"a piece is late", []time.Duration{slow, timeout + time.Millisecond, slow}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, w := progress.Watch(t.Context(), within)
+				ctx, w := progress.Watch(t.Context(), timeout)
 				defer w.Stop()
-				text, err := io.ReadAll(w.Reader(&pieces{ctx, c.pauses}, within))
+				text, err := io.ReadAll(w.Reader(&pieces{ctx, c.pauses}, timeout))
 				require.ErrorIs(t, err, progress.ErrStalled)
 				require.Len(t, text, c.bytes)
 			})
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestAnEndedWatchDoesNotStall(t *testing.T) {
+func TestStoppedWatchdogDoesNotReportAStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, w := progress.Watch(t.Context(), time.Second)
 		w.Stop()
