--- a/internal/mesh/exchange/conn.go
+++ b/internal/mesh/exchange/conn.go
@@ -1,7 +1,7 @@
 // Package exchange speaks HTTP/1.1 to the backend server beside the node, over
-// connections that it keeps. It knows of each exchange whether a byte of the
-// request was sent, and takes only the answer that echoes the request's own id:
-// a backend server may answer twice, or late, on a connection that is used again.
+// persistent connections. For each exchange it records whether a byte of the request
+// was sent, and it accepts only an answer that echoes the request's own ID: a backend
+// server may answer twice, or late, on a connection that is reused.
 package exchange
 
 import (
@@ -20,23 +20,23 @@
 )
 
 const (
-	// maxStray is how many answers to other requests are skipped before a
-	// connection is given up. One duplicate is usual; more are a fault.
-	maxStray = 3
+	// maxUnmatched is how many answers to other requests are skipped before a
+	// connection is closed. One duplicate is usual; more are a fault.
+	maxUnmatched = 3
 	// maxAnswer bounds an answer that is held in memory, in bytes: a tenth of the
-	// memory that the smallest VMs give a node.
+	// memory that a node has on the smallest VMs.
 	maxAnswer = 16 << 20
-	// readBuffer holds the header and most bodies of an answer, in bytes.
+	// readBuffer is large enough for the header and most bodies of an answer, in bytes.
 	readBuffer = 8 << 10
 )
 
 var (
-	errStray    = eris.New("the backend server answered other requests")
-	errTooLarge = eris.New("the backend server's answer is too large to hold")
-	errIdleData = eris.New("the backend server sent bytes that nobody asked for")
+	errUnmatched   = eris.New("the backend server answered other requests")
+	errTooLarge    = eris.New("the backend server's answer is too large to hold")
+	errUnsolicited = eris.New("the backend server sent unsolicited bytes")
 )
 
-// result is what came back for one request.
+// result is the outcome of one request.
 type result struct {
 	resp *http.Response
 	body []byte
@@ -47,47 +47,47 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// idHeader is the header that answers echo the request's id in.
+	// idHeader is the header in which answers echo the request's ID.
 	idHeader string
-	// wanted is handed the request that waits for an answer; results gives it back.
+	// wanted receives the request that waits for an answer; results returns the result.
 	wanted  chan *http.Request
 	results chan result
-	// idleSince is when the connection was last used, and keep how long the
-	// backend server keeps it from then on; 0 is not told.
+	// idleSince is when the connection was last used, and keepAlive how long the
+	// backend server keeps it open from then on; 0 is unknown.
 	idleSince time.Time
-	keep      time.Duration
+	keepAlive time.Duration
 	mu        sync.Mutex
-	dead      bool
+	aborted   bool
 }
 
 func newConn(c net.Conn, idHeader string) *conn {
-	one := &conn{
+	pc := &conn{
 		Conn: c, reader: bufio.NewReaderSize(c, readBuffer), idHeader: idHeader,
 		wanted: make(chan *http.Request, 1), results: make(chan result, 1),
 	}
-	go one.read()
-	return one
+	go pc.read()
+	return pc
 }
 
-// read waits for bytes even while nobody has asked for any: so a connection that
-// the backend server closes, or puts an extra answer on, is noticed before a
+// read waits for bytes even while no request is in flight, so that a connection that
+// the backend server closes, or sends an extra answer on, is detected before a
 // request is sent on it.
 func (c *conn) read() {
-	defer c.kill()
+	defer c.abort()
 	for {
 		_, err := c.reader.Peek(1)
 		var req *http.Request
 		select {
 		case req = <-c.wanted:
 		default:
-			if err == nil && c.skipExtra() {
+			if err == nil && c.discardExtra() {
 				continue
 			}
-			c.kill()
-			// Whoever sends at this moment must be told.
+			c.abort()
+			// A request that is being sent at this moment must get a result.
 			select {
 			case <-c.wanted:
-				c.results <- result{err: errors.Join(errIdleData, err)}
+				c.results <- result{err: errors.Join(errUnsolicited, err)}
 			default:
 			}
 			return
@@ -104,9 +104,9 @@
 	}
 }
 
-// skipExtra reads an answer that came while no request waited. It returns false
+// discardExtra reads an answer that arrived while no request waited. It returns false
 // if the connection can't be used any more.
-func (c *conn) skipExtra() bool {
+func (c *conn) discardExtra() bool {
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil || resp.ContentLength < 0 || resp.Close {
 		return false
@@ -115,10 +115,10 @@
 	return err == nil
 }
 
-// answer reads the answer to req, past those to earlier requests.
+// answer reads the answer to req, skipping those to earlier requests.
 func (c *conn) answer(req *http.Request) result {
 	id := req.Header.Get(c.idHeader)
-	for range maxStray {
+	for range maxUnmatched {
 		resp, err := http.ReadResponse(c.reader, req)
 		if err != nil {
 			return result{err: eris.Wrap(err, "read answer")}
@@ -140,46 +140,46 @@
 			break
 		}
 	}
-	return result{err: errStray}
+	return result{err: errUnmatched}
 }
 
-// kill closes the connection; no later request may use it.
-func (c *conn) kill() {
+// abort closes the connection; no later request may use it.
+func (c *conn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead {
+	if c.aborted {
 		return
 	}
-	c.dead = true
-	// Nothing depends on whether a connection that is given up closes cleanly.
+	c.aborted = true
+	// An error on closing has no effect: the connection is not used any more.
 	_ = c.Close()
 }
 
 func (c *conn) alive() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.dead
+	return !c.aborted
 }
 
-// noteKeep learns from an answer how long the backend server keeps the
-// connection, and says whether it may be used again.
-func (c *conn) noteKeep(resp *http.Response) bool {
+// noteKeepAlive reads from an answer how long the backend server keeps the
+// connection open, and reports whether it may be reused.
+func (c *conn) noteKeepAlive(resp *http.Response) bool {
 	if resp.Close || resp.ProtoMinor == 0 {
 		return false
 	}
 	for part := range strings.SplitSeq(resp.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			c.keep = time.Duration(seconds) * time.Second
+			c.keepAlive = time.Duration(seconds) * time.Second
 		}
 	}
 	return true
 }
 
-// send writes a request and waits for its answer. sent says whether any byte may
-// have gone out.
+// send writes a request and waits for its answer. sent reports whether any byte may
+// have been written.
 func (c *conn) send(ctx context.Context, req *http.Request, allow func() bool) (r result, sent bool) {
-	stop := context.AfterFunc(ctx, c.kill)
+	stop := context.AfterFunc(ctx, c.abort)
 	defer stop()
 	c.wanted <- req
 	if !c.alive() {
@@ -190,38 +190,38 @@
 			return r, false
 		}
 	}
-	// Asked last before the write: a process that was frozen until here must not
-	// send what its caller has long given up.
+	// Checked last before the write: a process that was frozen until now must not send
+	// a request that its caller has given up since.
 	if !allow() {
-		c.kill()
+		c.abort()
 		return result{err: errNotAllowed}, false
 	}
 	written := c.write(req)
 	select {
 	case r = <-c.results:
 	case <-ctx.Done():
-		c.kill()
+		c.abort()
 		return result{err: ctx.Err()}, true
 	}
-	if r.err == nil && !wholeWritten(written) {
-		// Answered before the body was in. The backend server may read on for it;
-		// what it would get there next isn't it.
-		c.kill()
+	if r.err == nil && !writeCompleted(written) {
+		// Answered before the whole body was sent. The backend server may still read the
+		// rest of it, and would read the next request as that rest.
+		c.abort()
 	}
 	return r, true
 }
 
 const (
-	// smallBody is what is written without a goroutine of its own, in bytes: it fits
-	// into the buffers of a connection on which nothing else is under way.
+	// smallBody is the largest body that is written without a goroutine of its own, in
+	// bytes: it fits into the buffers of a connection with nothing else in flight.
 	smallBody = 16 << 10
-	// writtenWithin is how long after its answer the write of a long request may
-	// take to return.
-	writtenWithin = 5 * time.Millisecond
+	// writeGrace is how long after its answer the write of a long request may take to
+	// return.
+	writeGrace = 5 * time.Millisecond
 )
 
-// write writes a request; the channel gives how that ended. A long one is written
-// while the answer is waited for, which may come early.
+// write writes a request and returns a channel that receives the write's error. A long
+// request is written while its answer, which may arrive early, is awaited.
 func (c *conn) write(req *http.Request) <-chan error {
 	written := make(chan error, 1)
 	if req.ContentLength <= smallBody {
@@ -232,9 +232,9 @@
 	return written
 }
 
-// wholeWritten says whether a request that was answered is written to its end.
-func wholeWritten(written <-chan error) bool {
-	timer := time.NewTimer(writtenWithin)
+// writeCompleted reports whether a request that was answered has been written completely.
+func writeCompleted(written <-chan error) bool {
+	timer := time.NewTimer(writeGrace)
 	defer timer.Stop()
 	select {
 	case err := <-written:
--- a/internal/mesh/exchange/exchange_test.go
+++ b/internal/mesh/exchange/exchange_test.go
@@ -23,19 +23,19 @@
 
 var names = mesh.HeaderNames{RequestID: "X-Id"}
 
-// backend is a backend server whose every connection is served by a function.
+// backend is a backend server that serves each connection with a function.
 type backend struct {
 	net.Listener
 	accepted atomic.Int32
 }
 
-// connection is one connection as the backend server has it.
+// connection is the backend server's end of a connection.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// next reads a request and gives its id.
+// next reads a request and returns its ID.
 func (c *connection) next() (string, error) {
 	r, err := http.ReadRequest(c.reader)
 	if err != nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestAKeptConnectionIsUsedAgain(t *testing.T) {
+func TestIdleConnectionIsReused(t *testing.T) {
 	b, client := serve(t, echo)
 	for i := range 5 {
 		id := fmt.Sprint(i)
@@ -104,9 +104,9 @@
 	require.EqualValues(t, 1, b.accepted.Load())
 }
 
-// A backend server answers a request twice. The second answer arrives when the
-// next request's is due; handed on, an office would see another one's order.
-func TestAnAnswerToAnotherRequestIsSkipped(t *testing.T) {
+// Guards against a late second answer to one request that is passed on as the answer to
+// the next one, which would show a caller the answer to another caller's request.
+func TestAnswerToOtherRequestIsSkipped(t *testing.T) {
 	_, client := serve(t, func(c *connection) {
 		last := ""
 		for {
@@ -128,9 +128,9 @@
 	}
 }
 
-// The extra answer comes at once, while the connection is idle. It must neither
-// be taken for the next request's nor cost that request its outcome.
-func TestAnExtraAnswerOnAnIdleConnectionHarmsNoRequest(t *testing.T) {
+// Guards against an extra answer on an idle connection that is taken for the next
+// request's, or that leaves that request's outcome unknown.
+func TestExtraAnswerOnIdleConnectionIsDiscarded(t *testing.T) {
 	_, client := serve(t, func(c *connection) {
 		for {
 			id, err := c.next()
@@ -149,8 +149,9 @@
 	}
 }
 
-// Bytes that are no answer follow a whole one. They belong to no request.
-func TestGarbageAfterAnAnswerEndsTheConnection(t *testing.T) {
+// Guards against bytes that aren't an answer, sent after a complete one, reaching a later
+// request.
+func TestGarbageAfterAnswerClosesConnection(t *testing.T) {
 	garbage := make(chan struct{}, 1)
 	b, client := serve(t, func(c *connection) {
 		id, err := c.next()
@@ -172,9 +173,9 @@
 	require.Greater(t, b.accepted.Load(), int32(1))
 }
 
-// A backend server refuses an upload before all of it was sent, and keeps the
-// connection to read the rest. Another request's bytes there would be taken for it.
-func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
+// A backend server refuses an upload before all of it was sent, and keeps the connection
+// open to read the rest. Guards against another request's bytes being read as that rest.
+func TestEarlyAnswerClosesConnection(t *testing.T) {
 	b, client := serve(t, func(c *connection) {
 		r, err := http.ReadRequest(c.reader)
 		if err != nil {
@@ -184,7 +185,7 @@
 		if r.ContentLength == 0 {
 			return
 		}
-		// Some of the body stays unread, as the buffers between the two are full.
+		// Part of the body stays unread, as the buffers between the two ends are full.
 		_, _ = io.CopyN(io.Discard, c.reader, 1)
 		_, _ = c.reader.ReadByte()
 	})
@@ -198,9 +199,9 @@
 	require.EqualValues(t, 2, b.accepted.Load())
 }
 
-// A process is frozen between its last look at the clock and the write. When it
-// wakes, the caller has long booked elsewhere; nothing may be sent.
-func TestARequestThatIsNoLongerAllowedIsNotSent(t *testing.T) {
+// Guards against a request that is sent after its caller has given it up, because the
+// process was frozen between its last check of the clock and the write.
+func TestRequestThatIsNoLongerAllowedIsNotSent(t *testing.T) {
 	var got atomic.Int32
 	_, client := serve(t, func(c *connection) {
 		for {
@@ -216,7 +217,7 @@
 	require.Zero(t, got.Load())
 }
 
-func TestWhatBreaksOffAfterTheWriteIsUnknown(t *testing.T) {
+func TestOutcomeIsUnknownAfterIncompleteAnswer(t *testing.T) {
 	cases := map[string]func(c *connection, id string){
 		"no answer":  func(*connection, string) {},
 		"cut header": func(c *connection, _ string) { c.write("HTTP/1.1 200 OK\r\nX-") },
@@ -226,8 +227,8 @@
 		"cut chunk": func(c *connection, id string) {
 			c.write("HTTP/1.1 200 OK\r\nX-Id: %s\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf", id)
 		},
-		"no answer at all":  func(c *connection, _ string) { c.write("what\r\n\r\n") },
-		"another's answers": func(c *connection, _ string) { c.answer("x", ""); c.answer("y", ""); c.answer("z", "") },
+		"no answer at all":          func(c *connection, _ string) { c.write("what\r\n\r\n") },
+		"answers to other requests": func(c *connection, _ string) { c.answer("x", ""); c.answer("y", ""); c.answer("z", "") },
 	}
 	for name, f := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -244,8 +245,8 @@
 	}
 }
 
-// An answer without a length ends with its connection, and is whole then.
-func TestAnAnswerMayEndWithItsConnection(t *testing.T) {
+// An answer without a length ends with its connection, and is complete then.
+func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
 	_, client := serve(t, func(c *connection) {
 		id, err := c.next()
 		if err == nil {
@@ -257,7 +258,7 @@
 	require.Equal(t, "to the end", string(a.Body))
 }
 
-func TestNobodyListeningIsUnreachable(t *testing.T) {
+func TestRefusedDialIsUnreachable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
@@ -266,9 +267,9 @@
 	require.Equal(t, exchange.Unreachable, f.Outcome)
 }
 
-// A caller leaves. The backend server learns of it by its connection's end, and
-// can stop to work for nobody.
-func TestTheEndOfTheWaitClosesTheConnection(t *testing.T) {
+// When the caller leaves, the backend server must notice it by the end of its connection,
+// so that it can stop working on the request.
+func TestCancelClosesConnection(t *testing.T) {
 	closed := make(chan error, 1)
 	started := make(chan struct{})
 	_, client := serve(t, func(c *connection) {
@@ -289,9 +290,9 @@
 	require.Error(t, <-closed)
 }
 
-// A backend server closes an idle connection. The next request must go over a new
-// one, and not be reset on the old.
-func TestAConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
+// Guards against a request that is reset because it reuses a connection that the backend
+// server closed while it was idle.
+func TestConnectionClosedWhileIdleIsNotReused(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	_, client := serve(t, func(c *connection) {
 		id, err := c.next()
--- a/internal/mesh/exchange/pool.go
+++ b/internal/mesh/exchange/pool.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// dialTimeout bounds opening a connection on the own VM.
+	// dialTimeout bounds opening a connection on the node's own VM.
 	dialTimeout = time.Second
-	// userTimeout is when the kernel gives up unacknowledged bytes: an address that
-	// went dark must not hold a request for minutes.
+	// userTimeout is when the kernel closes a connection with unacknowledged bytes: an
+	// unreachable address must not hold a request for minutes.
 	userTimeout = 3 * time.Second
-	// defaultIdle is how long an unused connection is trusted where the backend
-	// server doesn't say how long it keeps one.
+	// defaultIdle is how long an idle connection may be reused if the backend server
+	// doesn't report how long it keeps one open.
 	defaultIdle = 4 * time.Second
-	// idleMargin is kept off what the backend server says: a request sent as it
-	// closes would be reset, and nobody could tell whether it ran.
+	// idleMargin is subtracted from what the backend server reports: a request sent while
+	// it closes the connection would be reset, with an unknown outcome.
 	idleMargin = 1500 * time.Millisecond
-	// onceIdle is how long an unused connection is trusted for a request that may
-	// run only once. A reset costs such a request its outcome, a new connection
-	// only a millisecond.
-	onceIdle = 2 * time.Second
-	// maxIdle bounds the connections kept.
+	// atMostOnceIdle is how long an idle connection may be reused for a request that must
+	// not run twice. A reset leaves the outcome of such a request unknown, while a new
+	// connection takes only a millisecond.
+	atMostOnceIdle = 2 * time.Second
+	// maxIdle bounds the number of idle connections.
 	maxIdle = 32
 )
 
-// Client makes exchanges with one backend server. Safe for concurrent use.
+// Client sends requests to one backend server. Safe for concurrent use.
 type Client struct {
 	addr   string
 	names  mesh.HeaderNames
@@ -46,45 +46,45 @@
 	opened atomic.Uint64
 }
 
-// NewClient returns a Client of the backend server at addr.
+// NewClient returns a Client for the backend server at addr.
 func NewClient(addr string, names mesh.HeaderNames) *Client {
 	return &Client{addr: addr, names: names}
 }
 
-// Opened counts the connections opened so far.
+// Opened returns how many connections have been opened so far.
 func (c *Client) Opened() uint64 { return c.opened.Load() }
 
-// Outcome is how far an exchange that failed got.
+// Outcome is how far a failed exchange got.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// NotSent is an exchange of which no byte went out.
+	// NotSent means that no byte of the request was sent.
 	NotSent Outcome = iota
-	// Unreachable is the same for want of a connection.
+	// Unreachable means that no byte was sent because no connection could be opened.
 	Unreachable
-	// Unknown is one that the backend server may have run.
+	// Unknown means that the backend server may have run the request.
 	Unknown
 )
 
-// Failure is an exchange without a whole answer.
+// Failure is an exchange without a complete answer.
 type Failure struct {
 	Outcome Outcome
 	Cause   error
 }
 
-// Error gives the cause.
+// Error returns the message of the cause.
 func (f *Failure) Error() string { return f.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// Message is a request as it is to be written.
+// Message is a request to be written.
 type Message struct {
 	Method, URI, Host string
 	Header            http.Header
 	Body              []byte
-	// Once is for requests that may run only once.
+	// AtMostOnce marks a request that must not run twice.
 	Once bool
 }
 
@@ -97,77 +97,77 @@
 		r.Body = io.NopCloser(bytes.NewReader(m.Body))
 	}
 	if _, ok := r.Header["User-Agent"]; !ok {
-		// Or the library would add one of its own.
+		// Otherwise the library would add its own.
 		r.Header["User-Agent"] = nil
 	}
 	return r
 }
 
-// Do sends a request and gives the whole answer. allow is asked right before the
-// first byte goes out. When ctx ends the connection is closed, by which most
-// backend servers notice that nobody waits.
+// Do sends a request and returns the complete answer. allow is called right before the
+// first byte is written. When ctx ends the connection is closed, by which most backend
+// servers notice that the answer is no longer awaited.
 func (c *Client) Do(ctx context.Context, m *Message, allow func() bool) (*mesh.Answer, *Failure) {
-	one, err := c.take(ctx, m.Once)
+	pc, err := c.acquire(ctx, m.Once)
 	if err != nil {
 		return nil, &Failure{Unreachable, err}
 	}
-	r, sent := one.send(ctx, m.request(), allow)
+	r, sent := pc.send(ctx, m.request(), allow)
 	if r.err != nil {
-		one.kill()
+		pc.abort()
 		outcome := Unknown
 		if !sent {
 			outcome = NotSent
 		}
 		return nil, &Failure{outcome, r.err}
 	}
-	if one.noteKeep(r.resp) && one.alive() {
-		c.put(one)
+	if pc.noteKeepAlive(r.resp) && pc.alive() {
+		c.release(pc)
 	} else {
-		one.kill()
+		pc.abort()
 	}
 	return &mesh.Answer{Status: r.resp.StatusCode, Header: r.resp.Header, Body: r.body}, nil
 }
 
-// take gives a kept connection, the last used first, or a new one.
-func (c *Client) take(ctx context.Context, once bool) (*conn, error) {
+// acquire returns an idle connection, the most recently used first, or a new one.
+func (c *Client) acquire(ctx context.Context, atMostOnce bool) (*conn, error) {
 	now := time.Now()
 	c.mu.Lock()
 	for i := len(c.idle) - 1; i >= 0; i-- {
-		one := c.idle[i]
-		if !one.alive() || one.stale(now) {
-			one.kill()
+		pc := c.idle[i]
+		if !pc.alive() || pc.stale(now) {
+			pc.abort()
 			c.idle = append(c.idle[:i], c.idle[i+1:]...)
 			continue
 		}
-		if once && now.Sub(one.idleSince) > onceIdle {
+		if atMostOnce && now.Sub(pc.idleSince) > atMostOnceIdle {
 			continue
 		}
 		c.idle = append(c.idle[:i], c.idle[i+1:]...)
 		c.mu.Unlock()
-		return one, nil
+		return pc, nil
 	}
 	c.mu.Unlock()
 	return c.dial(ctx)
 }
 
-// stale says whether the backend server may be about to close the connection.
+// stale reports whether the backend server may be about to close the connection.
 func (c *conn) stale(now time.Time) bool {
-	keep := defaultIdle
-	if c.keep > 0 {
-		keep = c.keep - idleMargin
+	keepAlive := defaultIdle
+	if c.keepAlive > 0 {
+		keepAlive = c.keepAlive - idleMargin
 	}
-	return now.Sub(c.idleSince) > keep
+	return now.Sub(c.idleSince) > keepAlive
 }
 
-func (c *Client) put(one *conn) {
-	one.idleSince = time.Now()
+func (c *Client) release(pc *conn) {
+	pc.idleSince = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle) >= maxIdle {
-		one.kill()
+		pc.abort()
 		return
 	}
-	c.idle = append(c.idle, one)
+	c.idle = append(c.idle, pc)
 }
 
 func (c *Client) dial(ctx context.Context) (*conn, error) {
@@ -180,12 +180,12 @@
 	return newConn(raw, c.names.RequestID), nil
 }
 
-// Close drops the kept connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, one := range c.idle {
-		one.kill()
+	for _, pc := range c.idle {
+		pc.abort()
 	}
 	c.idle = nil
 }
