--- a/internal/mesh/front/conn.go
+++ b/internal/mesh/front/conn.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// maxAhead bounds the requests of one connection that are served at a time.
-	maxAhead = 16
-	// lingerFor is how long a connection is read on after its last answer for each
-	// piece that still comes. Closed with unread bytes it would be reset, and the reset
-	// could overtake the answer. lingerBytes bounds the whole, in bytes.
-	lingerFor   = time.Second
-	lingerBytes = 64 << 20
-	// writeTimeout bounds how long the writing of an answer may stand still: a caller
-	// that doesn't read for longer holds memory for nothing.
+	// maxPipelined bounds the requests of one connection that are served concurrently.
+	maxPipelined = 16
+	// lingerTimeout is how long a connection is read after its last answer for each
+	// chunk that still arrives. If it were closed with unread bytes it would be reset, and
+	// the reset could overtake the answer. lingerBytes bounds the total, in bytes.
+	lingerTimeout = time.Second
+	lingerBytes   = 64 << 20
+	// writeTimeout bounds how long writing an answer may make no progress: a caller that
+	// doesn't read for longer takes up memory.
 	writeTimeout = 10 * time.Second
-	// readBuffer holds most requests' headers, in bytes.
+	// readBuffer is large enough for most requests' headers, in bytes.
 	readBuffer = 4 << 10
 )
 
@@ -33,35 +33,35 @@
 	raw    net.Conn
 	reader *bufio.Reader
 	header *headerLimit
-	// ctx ends when the caller leaves.
+	// ctx ends when the caller disconnects.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// answers are those to be written, in order of their requests.
+	// answers holds the answers to be written, in the order of their requests.
 	answers chan *pending
 	mu      sync.Mutex
-	// ahead counts requests that were taken and not answered yet; answered is told when
-	// one is.
-	ahead    int
-	answered sync.Cond
-	// closing says that the answer being written is the last one, and lingering that
-	// it is written.
+	// outstanding counts requests that were read and not answered yet; answered is
+	// signalled when one is answered.
+	outstanding int
+	answered    sync.Cond
+	// closing is true if the answer being written is the last one, and lingering once it
+	// has been written.
 	closing   bool
 	lingering atomic.Bool
 }
 
-// pending is a request whose answer is to come.
+// pending is a request whose answer is outstanding.
 type pending struct {
 	method string
 	done   chan *Response
-	// close says that the caller asked for the connection to end.
+	// close is true if the caller asked for the connection to be closed.
 	close bool
 }
 
 func (s *Server) serve(raw net.Conn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &conn{
-		server: s, raw: raw, ctx: ctx, cancel: cancel, answers: make(chan *pending, maxAhead),
-		header: &headerLimit{conn: raw, left: -1},
+		server: s, raw: raw, ctx: ctx, cancel: cancel, answers: make(chan *pending, maxPipelined),
+		header: &headerLimit{conn: raw, remaining: -1},
 	}
 	c.answered.L = &c.mu
 	c.reader = bufio.NewReaderSize(c.header, readBuffer)
@@ -73,19 +73,19 @@
 		c.write()
 	}()
 	c.read()
-	// Nobody sends any more, so nobody waits: answers under way are cut short.
+	// The caller sends nothing more: requests in flight are cancelled.
 	cancel()
 	close(c.answers)
 	<-written
 	_ = raw.Close()
 }
 
-// read takes requests until the caller leaves or the last answer is decided.
+// read reads requests until the caller disconnects or the last answer is known.
 func (c *conn) read() {
 	for {
 		r, bad := c.readRequest()
 		if bad != nil {
-			if bad.status == 0 || !c.begin() {
+			if bad.status == 0 || !c.beginRequest() {
 				return
 			}
 			c.server.Counts.Rejected.Add(1)
@@ -95,14 +95,14 @@
 			c.drainInput()
 			return
 		}
-		if !c.begin() {
-			// Its answer would come behind one that ends the connection; the caller
-			// sends it again elsewhere.
+		if !c.beginRequest() {
+			// The answer would follow one that closes the connection. The caller sends the
+			// request again over another connection.
 			c.drainInput()
 			return
 		}
 		c.server.Counts.Requests.Add(1)
-		p := &pending{method: r.Method, done: make(chan *Response, 1), close: r.last}
+		p := &pending{method: r.Method, done: make(chan *Response, 1), close: r.closeAfter}
 		go func() { p.done <- c.server.handler.Serve(c.ctx, r) }()
 		c.answers <- p
 		if p.close {
@@ -112,22 +112,22 @@
 	}
 }
 
-// begin takes a request, unless the connection is about to end.
-func (c *conn) begin() bool {
+// beginRequest admits a request unless the connection is about to be closed.
+func (c *conn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing || !c.server.begin() {
+	if c.closing || !c.server.beginRequest() {
 		return false
 	}
-	c.ahead++
+	c.outstanding++
 	return true
 }
 
-// drainInput reads until the caller closes or sends nothing more, so that it gets the
-// last answers.
+// drainInput reads until the caller closes the connection or sends nothing more, so that
+// the caller receives the last answers.
 func (c *conn) drainInput() {
 	var scratch [1 << 10]byte
-	for left := lingerBytes; left > 0; {
+	for remaining := lingerBytes; remaining > 0; {
 		n, err := c.raw.Read(scratch[:])
 		if err != nil {
 			return
@@ -135,8 +135,8 @@
 		if !c.lingering.Load() {
 			continue
 		}
-		left -= n
-		if c.raw.SetReadDeadline(time.Now().Add(lingerFor)) != nil {
+		remaining -= n
+		if c.raw.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 			return
 		}
 	}
@@ -151,21 +151,21 @@
 		select {
 		case resp = <-p.done:
 		case <-c.ctx.Done():
-			// The caller has left; what is being served ends by itself.
+			// The caller has disconnected; requests in flight end by themselves.
 			c.server.Counts.Left.Add(1)
 			resp = <-p.done
 			failed = true
 		}
 		if failed {
-			c.end()
+			c.endRequest()
 			continue
 		}
-		last := c.last(p)
+		last := c.isLast(p)
 		err := writeResponse(w, p.method, resp, last, c.server.handler.Limits().IdleTimeout)
 		if err == nil {
 			err = w.Flush()
 		}
-		c.end()
+		c.endRequest()
 		if err != nil {
 			failed = true
 			_ = c.raw.Close()
@@ -173,14 +173,14 @@
 		}
 		if last {
 			failed = true
-			c.finish()
+			c.linger()
 		}
 	}
 }
 
-// last says whether the connection ends with an answer, and then takes no more
-// requests. It ends only when no other request was taken on it.
-func (c *conn) last(p *pending) bool {
+// isLast reports whether the connection is closed after an answer; from then on no requests
+// are admitted on it. A draining server closes it only if no other request was admitted on it.
+func (c *conn) isLast(p *pending) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing {
@@ -189,36 +189,36 @@
 	if !p.close && !c.server.draining.Load() {
 		return false
 	}
-	if c.ahead > 1 && !p.close {
+	if c.outstanding > 1 && !p.close {
 		return false
 	}
 	c.closing = true
 	return true
 }
 
-func (c *conn) end() {
+func (c *conn) endRequest() {
 	c.mu.Lock()
-	c.ahead--
+	c.outstanding--
 	c.mu.Unlock()
 	c.answered.Broadcast()
 	c.server.active.Add(-1)
 }
 
-// awaitAnswers waits until every request that was taken is answered. Only then may the
-// goroutine that reads write to the connection.
+// awaitAnswers waits until every request that was read has been answered. Only then may
+// the reading goroutine write to the connection.
 func (c *conn) awaitAnswers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.ahead > 0 {
+	for c.outstanding > 0 {
 		c.answered.Wait()
 	}
 }
 
-// finish ends the connection after the last answer, leaving the caller time to read it.
-func (c *conn) finish() {
+// linger ends the connection after the last answer, and leaves the caller time to read it.
+func (c *conn) linger() {
 	c.lingering.Store(true)
 	if half, ok := c.raw.(interface{ CloseWrite() error }); ok {
-		if half.CloseWrite() == nil && c.raw.SetReadDeadline(time.Now().Add(lingerFor)) == nil {
+		if half.CloseWrite() == nil && c.raw.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
 			return
 		}
 	}
--- a/internal/mesh/front/front_test.go
+++ b/internal/mesh/front/front_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// handler answers by a function, under limits.
+// handler answers requests with a function, under limits.
 type handler struct {
 	serve  func(ctx context.Context, r *front.Request) *front.Response
 	limits mesh.Limits
@@ -85,9 +85,9 @@
 	return resp, string(body)
 }
 
-// A browser sends three requests without waiting. They run side by side, and their
-// answers come in the order of the requests although the last is ready first.
-func TestPipelinedRequestsRunTogetherAndAreAnsweredInOrder(t *testing.T) {
+// A caller sends three requests without waiting. They run concurrently, and their answers
+// are sent in the order of the requests although the last is ready first.
+func TestPipelinedRequestsRunConcurrentlyAndAnswersKeepOrder(t *testing.T) {
 	gates := map[string]chan struct{}{"/1": make(chan struct{}), "/2": make(chan struct{}), "/3": make(chan struct{})}
 	running := make(chan string, 3)
 	_, c := start(t, handler{serve: func(_ context.Context, r *front.Request) *front.Response {
@@ -110,9 +110,9 @@
 	}
 }
 
-// A caller leaves with another request already in the node's buffer. Its first
-// request must be cancelled all the same.
-func TestACallerThatLeavesCancelsAllOfItsRequests(t *testing.T) {
+// Guards against a first request that isn't cancelled when its caller disconnects, because
+// another request is in the node's buffer already.
+func TestDisconnectCancelsAllRequestsOfConnection(t *testing.T) {
 	running, ended := make(chan struct{}, 2), make(chan struct{}, 2)
 	_, c := start(t, handler{serve: func(ctx context.Context, _ *front.Request) *front.Response {
 		running <- struct{}{}
@@ -129,7 +129,7 @@
 	<-ended
 }
 
-func TestABodyComesWholeByLengthAndInChunks(t *testing.T) {
+func TestBodyIsReadByLengthAndInChunks(t *testing.T) {
 	_, c := start(t, handler{serve: func(_ context.Context, r *front.Request) *front.Response {
 		return text(r.Method + " " + r.URI + " " + string(r.Body))
 	}})
@@ -147,7 +147,7 @@
 	require.Equal(t, "POST / ok", body)
 }
 
-func TestWhatCannotBeReadIsRejected(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	limits := mesh.Limits{HeaderBytes: 1000, BodyBytes: 10}
 	cases := map[string]struct {
 		sent string
@@ -178,10 +178,10 @@
 	}
 }
 
-// A node stops while a caller has two requests under way. Told to close with the
-// first answer, the caller would take the second for unread and send it again,
-// though it ran.
-func TestADrainingNodeEndsAConnectionWithItsLastAnswerOnly(t *testing.T) {
+// Guards against a request that is sent again although it ran: a caller with two requests
+// in flight that is asked to close the connection with the first answer takes the second
+// for unread.
+func TestDrainClosesConnectionWithLastAnswerOnly(t *testing.T) {
 	gates := map[string]chan struct{}{"/1": make(chan struct{}), "/2": make(chan struct{})}
 	running := make(chan struct{}, 2)
 	s, c := start(t, handler{serve: func(_ context.Context, r *front.Request) *front.Response {
@@ -202,7 +202,7 @@
 	require.True(t, resp.Close)
 }
 
-func TestACallerMayAskForTheEnd(t *testing.T) {
+func TestConnectionCloseHeaderClosesConnection(t *testing.T) {
 	_, c := start(t, handler{serve: func(context.Context, *front.Request) *front.Response { return text("x") }})
 	c.send("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	resp, _ := c.answer()
@@ -211,7 +211,7 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-func TestFinishWaitsForWhatIsServed(t *testing.T) {
+func TestStopIfIdleWaitsForRequestsInFlight(t *testing.T) {
 	release, running := make(chan struct{}), make(chan struct{})
 	s, c := start(t, handler{serve: func(context.Context, *front.Request) *front.Response {
 		close(running)
@@ -230,7 +230,7 @@
 	require.Error(t, err, "it isn't served any more")
 }
 
-func TestHeadersOfTheConnectionDoNotTravel(t *testing.T) {
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	_, c := start(t, handler{
 		limits: mesh.Limits{IdleTimeout: 15 * time.Second},
 		serve: func(_ context.Context, r *front.Request) *front.Response {
@@ -246,8 +246,8 @@
 	require.Equal(t, "timeout=15", resp.Header.Get("Keep-Alive"))
 }
 
-// Guards against a 100 Continue in the midst of the answers to requests before it.
-func TestAnUploadIsAskedForAfterTheAnswersBeforeIt(t *testing.T) {
+// Guards against a 100 Continue between the answers to earlier requests.
+func TestContinueIsSentAfterEarlierAnswers(t *testing.T) {
 	const work = 50 * time.Millisecond
 	_, c := start(t, handler{serve: func(_ context.Context, r *front.Request) *front.Response {
 		if r.Method == http.MethodGet {
--- a/internal/mesh/front/read.go
+++ b/internal/mesh/front/read.go
@@ -17,54 +17,53 @@
 )
 
 const (
-	// defaultHeaderBytes and defaultBodyBytes hold until a configuration says
-	// otherwise.
+	// defaultHeaderBytes and defaultBodyBytes apply until a configuration sets the limits.
 	defaultHeaderBytes = 64 << 10
 	defaultBodyBytes   = 32 << 20
-	// defaultIdle is how long a connection without requests is kept until then.
+	// defaultIdle is how long an idle connection is kept open, also until then.
 	defaultIdle = time.Minute
-	// idleGrace is kept a connection longer than callers are told: one that sends
-	// at the last moment must not meet the close.
+	// idleGrace is how much longer a connection is kept open than callers are told, so
+	// that a request sent at the last moment doesn't meet a closed connection.
 	idleGrace = time.Second
-	// bodyTimeout bounds the pause between two pieces of a body.
+	// bodyTimeout bounds the pause between two chunks of a body.
 	bodyTimeout = 10 * time.Second
 )
 
 var errHeaderTooLarge = errors.New("header over the limit")
 
-// headerLimit bounds the bytes read while a header is, and counts all.
+// headerLimit bounds the bytes read while a header is read, and counts all bytes.
 type headerLimit struct {
 	conn net.Conn
-	// left is what may still be read; negative is no bound.
-	left int64
-	read int64
+	// remaining is how many bytes may still be read; negative is unlimited.
+	remaining int64
+	read      int64
 }
 
 func (h *headerLimit) Read(p []byte) (int, error) {
-	if h.left == 0 {
+	if h.remaining == 0 {
 		return 0, errHeaderTooLarge
 	}
-	if h.left > 0 && int64(len(p)) > h.left {
-		p = p[:h.left]
+	if h.remaining > 0 && int64(len(p)) > h.remaining {
+		p = p[:h.remaining]
 	}
 	n, err := h.conn.Read(p)
 	h.read += int64(n)
-	if h.left > 0 {
-		h.left -= int64(n)
+	if h.remaining > 0 {
+		h.remaining -= int64(n)
 	}
 	return n, err
 }
 
-// badRequest is a request that can't be read; status 0 ends the connection
+// badRequest is a request that can't be read. With status 0 the connection is closed
 // without an answer.
 type badRequest struct{ status int }
 
 var (
-	gone     = &badRequest{}
-	tooLarge = &badRequest{http.StatusRequestEntityTooLarge}
+	disconnected = &badRequest{}
+	tooLarge     = &badRequest{http.StatusRequestEntityTooLarge}
 )
 
-// readRequest reads the next request whole.
+// readRequest reads the next request with its body.
 func (c *conn) readRequest() (*Request, *badRequest) {
 	limits := c.server.handler.Limits()
 	if bad := c.awaitRequest(limits); bad != nil {
@@ -72,9 +71,9 @@
 	}
 	in, err := c.readHeader(cmp.Or(limits.HeaderBytes, defaultHeaderBytes))
 	if err != nil {
-		return nil, unreadable(err)
+		return nil, headerError(err)
 	}
-	if bad := check(in); bad != nil {
+	if bad := validate(in); bad != nil {
 		return nil, bad
 	}
 	body, bad := c.readBody(in, limits)
@@ -82,21 +81,21 @@
 		return nil, bad
 	}
 	if err := c.raw.SetReadDeadline(time.Time{}); err != nil {
-		return nil, gone
+		return nil, disconnected
 	}
 	return &Request{
 		Method: in.Method, URI: in.RequestURI, Path: in.URL.Path, Host: in.Host,
-		Header: endToEnd(in.Header), Body: body, Arrived: time.Now(), last: in.Close,
+		Header: endToEnd(in.Header), Body: body, Arrived: time.Now(), closeAfter: in.Close,
 	}, nil
 }
 
-// readHeader reads a request's header of so many bytes at most. What stands in the
-// buffer already isn't bounded by the reads, so the bytes taken are counted too.
+// readHeader reads a request's header of at most limit bytes. Bytes that are in the buffer
+// already aren't bounded by headerLimit, so the bytes consumed are counted too.
 func (c *conn) readHeader(limit int64) (*http.Request, error) {
 	before := c.header.read - int64(c.reader.Buffered())
-	c.header.left = limit
+	c.header.remaining = limit
 	in, err := http.ReadRequest(c.reader)
-	c.header.left = -1
+	c.header.remaining = -1
 	if err == nil && c.header.read-int64(c.reader.Buffered())-before > limit {
 		return nil, errHeaderTooLarge
 	}
@@ -107,16 +106,16 @@
 func (c *conn) awaitRequest(limits mesh.Limits) *badRequest {
 	idle := cmp.Or(limits.IdleTimeout, defaultIdle)
 	c.mu.Lock()
-	// With an answer outstanding the connection isn't idle, and its end, which
-	// CloseWrite has given a deadline, isn't to be put off.
+	// A connection with an outstanding answer isn't idle, and the read deadline that
+	// linger sets must not be postponed.
 	closing := c.closing
 	c.mu.Unlock()
 	if closing {
-		return gone
+		return disconnected
 	}
 	for {
 		if err := c.raw.SetReadDeadline(time.Now().Add(idle + idleGrace)); err != nil {
-			return gone
+			return disconnected
 		}
 		_, err := c.reader.Peek(1)
 		if err == nil {
@@ -124,38 +123,38 @@
 		}
 		var timeout net.Error
 		if !errors.As(err, &timeout) || !timeout.Timeout() || !c.serving() {
-			return gone
+			return disconnected
 		}
 	}
 	if limits.HeaderTimeout > 0 {
 		if err := c.raw.SetReadDeadline(time.Now().Add(limits.HeaderTimeout)); err != nil {
-			return gone
+			return disconnected
 		}
 	}
 	return nil
 }
 
-// serving says whether answers are outstanding.
+// serving reports whether answers are outstanding.
 func (c *conn) serving() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ahead > 0 && !c.closing
+	return c.outstanding > 0 && !c.closing
 }
 
-// unreadable gives the answer to a header that can't be read.
-func unreadable(err error) *badRequest {
+// headerError returns the answer to a header that can't be read.
+func headerError(err error) *badRequest {
 	var timeout net.Error
 	switch {
 	case errors.Is(err, errHeaderTooLarge):
 		return &badRequest{http.StatusRequestHeaderFieldsTooLarge}
 	case errors.As(err, &timeout), errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return gone
+		return disconnected
 	}
 	return &badRequest{http.StatusBadRequest}
 }
 
-// check refuses what can't be sent on as it came.
-func check(in *http.Request) *badRequest {
+// validate rejects requests that can't be forwarded as they are.
+func validate(in *http.Request) *badRequest {
 	bad := &badRequest{http.StatusBadRequest}
 	switch {
 	case in.ProtoMajor != 1, in.Host == "" && in.ProtoMinor == 1:
@@ -164,16 +163,16 @@
 		return bad
 	}
 	for name, values := range in.Header {
-		if !httpguts.ValidHeaderFieldName(name) || !allValid(values) {
+		if !httpguts.ValidHeaderFieldName(name) || !validValues(values) {
 			return bad
 		}
 	}
 	return nil
 }
 
-// allValid says whether values may be sent on. The library reads some that
-// another server would take for the end of the header.
-func allValid(values []string) bool {
+// validValues reports whether header values may be forwarded. The library accepts some
+// that another server would take for the end of the header.
+func validValues(values []string) bool {
 	for _, v := range values {
 		if !httpguts.ValidHeaderFieldValue(v) {
 			return false
@@ -182,7 +181,7 @@
 	return true
 }
 
-// readBody reads a body whole.
+// readBody reads the whole body.
 func (c *conn) readBody(in *http.Request, limits mesh.Limits) ([]byte, *badRequest) {
 	if in.Body == nil || in.Body == http.NoBody {
 		return nil, nil
@@ -194,7 +193,7 @@
 	if strings.EqualFold(in.Header.Get("Expect"), "100-continue") {
 		c.awaitAnswers()
 		if _, err := io.WriteString(stall.NewWriter(c.raw, writeTimeout), "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-			return nil, gone
+			return nil, disconnected
 		}
 	}
 	var body bytes.Buffer
@@ -205,7 +204,7 @@
 	if _, err := io.Copy(&body, paced); err != nil {
 		var timeout net.Error
 		if errors.As(err, &timeout) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) {
-			return nil, gone
+			return nil, disconnected
 		}
 		return nil, &badRequest{http.StatusBadRequest}
 	}
@@ -215,7 +214,7 @@
 	return body.Bytes(), nil
 }
 
-// pacedReader gives each piece of a body its own time.
+// pacedReader sets a new deadline for each chunk of a body.
 type pacedReader struct {
 	conn net.Conn
 	from io.Reader
--- a/internal/mesh/front/server.go
+++ b/internal/mesh/front/server.go
@@ -1,8 +1,7 @@
-// Package front speaks HTTP/1.1 to callers. It reads whole requests, several
-// ahead of their answers where a caller pipelines, serves them side by side, and
-// writes the answers in order. The library's server would serve pipelined
-// requests one after the other, and doesn't notice a caller that leaves once
-// another request stands in its buffer.
+// Package front speaks HTTP/1.1 to callers. It reads whole requests, several ahead of
+// their answers if a caller pipelines, serves them concurrently, and writes the answers
+// in order. The library's server would serve pipelined requests one after the other, and
+// doesn't notice that a caller disconnects once another request is in its buffer.
 package front
 
 import (
@@ -17,38 +16,38 @@
 	"github.com/limpetdock/limpetdock/internal/mesh"
 )
 
-// Request is one request, read whole.
+// Request is one request with its whole body.
 type Request struct {
 	Method, URI, Path, Host string
 	Header                  http.Header
 	Body                    []byte
-	// Arrived is when it was read.
+	// Arrived is when the request was read.
 	Arrived time.Time
-	// last says that the caller wants the connection to end with the answer.
-	last bool
+	// closeAfter is true if the caller wants the connection to be closed after the answer.
+	closeAfter bool
 }
 
-// Response is one answer, whole.
+// Response is one answer with its whole body.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Handler answers requests. ctx ends when the caller leaves. Safe for concurrent use.
+// Handler answers requests. ctx ends when the caller disconnects. Safe for concurrent use.
 type Handler interface {
 	Serve(ctx context.Context, r *Request) *Response
-	// Reject gives the answer to a request that can't be read, by its status.
+	// Reject returns the answer with the given status to a request that can't be read.
 	Reject(status int) *Response
-	// Limits gives the limits in force.
+	// Limits returns the limits in force.
 	Limits() mesh.Limits
 }
 
-// Server takes callers' connections. Safe for concurrent use.
+// Server accepts callers' connections. Safe for concurrent use.
 type Server struct {
 	handler  Handler
 	draining atomic.Bool
-	// closed says that no request is taken any more.
+	// closed is true once no more requests are admitted.
 	closed atomic.Bool
 	active atomic.Int64
 	mu     sync.Mutex
@@ -56,10 +55,10 @@
 	Counts Counts
 }
 
-// Counts count what the server does. Safe for concurrent use.
+// Counts counts what the server does. Safe for concurrent use.
 type Counts struct {
-	// Accepted are connections; Requests those read whole; Rejected those that
-	// couldn't be read; Left those whose caller left before the answer.
+	// Accepted counts connections, Requests those read completely, Rejected those that
+	// could not be read, and Abandoned those whose caller disconnected before the answer.
 	Accepted, Requests, Rejected, Left atomic.Uint64
 }
 
@@ -75,14 +74,14 @@
 	return nil
 }
 
-// Drain tells callers with each answer from now on to use another connection.
+// Drain makes each answer from now on ask the caller to use another connection.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Active gives how many requests were read and not answered yet.
+// Active returns how many requests were read and not answered yet.
 func (s *Server) Active() int { return int(s.active.Load()) }
 
-// Finish stops taking requests if none is being served, and says whether it did.
-// A request that is read at the same moment goes first: then it returns false.
+// StopIfIdle stops admitting requests if none is being served, and reports whether it did.
+// It returns false if a request is read at the same moment.
 func (s *Server) Finish() bool {
 	s.closed.Store(true)
 	if s.active.Load() == 0 {
@@ -92,7 +91,7 @@
 	return false
 }
 
-// Close stops taking requests and ends all connections.
+// Close stops admitting requests and closes all connections.
 func (s *Server) Close() {
 	s.closed.Store(true)
 	s.mu.Lock()
@@ -102,8 +101,8 @@
 	}
 }
 
-// begin counts a request in, unless none is taken any more.
-func (s *Server) begin() bool {
+// beginRequest counts a request as active, unless requests are no longer admitted.
+func (s *Server) beginRequest() bool {
 	s.active.Add(1)
 	if s.closed.Load() {
 		s.active.Add(-1)
--- a/internal/mesh/front/slow_test.go
+++ b/internal/mesh/front/slow_test.go
@@ -17,7 +17,7 @@
 	"github.com/limpetdock/limpetdock/internal/mesh/front"
 )
 
-// pipes is a listener of connections in memory.
+// pipes is a listener for in-memory connections.
 type pipes struct {
 	net.Listener
 	conns  chan net.Conn
@@ -33,12 +33,12 @@
 	}
 }
 
-// half is a connection whose two directions end by themselves.
+// half is a connection whose two directions are closed separately.
 type half struct{ net.Conn }
 
 func (half) CloseWrite() error { return nil }
 
-// ask sends a request to a server in memory that answers with so many bytes.
+// ask sends a request to an in-memory server that answers with a body of the given size.
 func ask(t *testing.T, size int) (s *front.Server, c net.Conn, stop func()) {
 	s, c, stop = connect(handler{serve: func(context.Context, *front.Request) *front.Response {
 		return &front.Response{Status: 200, Header: http.Header{}, Body: make([]byte, size)}
@@ -48,7 +48,7 @@
 	return s, c, stop
 }
 
-// connect connects to a server in memory.
+// connect connects to an in-memory server.
 func connect(h handler) (s *front.Server, c net.Conn, stop func()) {
 	l := &pipes{conns: make(chan net.Conn), closed: make(chan struct{})}
 	s = front.New(h)
@@ -64,24 +64,24 @@
 	}
 }
 
-// Guards against a large answer that is cut off while its caller still reads.
-func TestACallerThatReadsOnGetsItsWholeAnswer(t *testing.T) {
+// Guards against a large answer that is truncated while its caller still reads.
+func TestSlowCallerGetsCompleteAnswer(t *testing.T) {
 	const size = 1 << 20
 	synctest.Test(t, func(t *testing.T) {
 		_, c, stop := ask(t, size)
 		defer stop()
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		require.NoError(t, err)
-		for left := size; left > 0; left -= size / 16 {
+		for remaining := size; remaining > 0; remaining -= size / 16 {
 			time.Sleep(2 * time.Second)
 			_, err := io.CopyN(io.Discard, resp.Body, size/16)
-			require.NoError(t, err, "%d bytes were left", left)
+			require.NoError(t, err, "%d bytes remaining", remaining)
 		}
 	})
 }
 
-// Guards against memory that is held for a caller that has stopped reading.
-func TestACallerThatStopsReadingIsLeft(t *testing.T) {
+// Guards against memory that is held for a caller that no longer reads.
+func TestConnectionIsClosedWhenCallerStopsReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c, stop := ask(t, 1<<20)
 		defer stop()
@@ -93,8 +93,9 @@
 	})
 }
 
-// Guards against a connection that ends at an Expect header because an earlier answer's time is over.
-func TestAnUploadMayBeAnnouncedLongAfterAnAnswer(t *testing.T) {
+// Guards against closing a connection at an Expect header because the deadline of an earlier
+// answer has passed.
+func TestContinueIsSentLongAfterEarlierAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, c, stop := ask(t, 10)
 		defer stop()
@@ -112,8 +113,8 @@
 	})
 }
 
-// Guards against a reset that overtakes the refusal of an upload that is still on its way.
-func TestARefusedUploadIsReadOnForAsLongAsItComes(t *testing.T) {
+// Guards against a reset that overtakes the rejection of an upload in progress.
+func TestRejectedUploadIsReadToItsEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, c, stop := connect(handler{limits: mesh.Limits{BodyBytes: 10}})
 		defer stop()
@@ -130,8 +131,8 @@
 	})
 }
 
-// Guards against a connection that stays open for a caller that got its last answer.
-func TestACallerThatSendsNothingMoreIsLeftAfterItsLastAnswer(t *testing.T) {
+// Guards against a connection that stays open for a caller that received its last answer.
+func TestConnectionIsClosedAfterLastAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, c, stop := connect(handler{limits: mesh.Limits{BodyBytes: 10}})
 		defer stop()
--- a/internal/mesh/front/write.go
+++ b/internal/mesh/front/write.go
@@ -10,7 +10,7 @@
 	"github.com/limpetdock/limpetdock/internal/headers"
 )
 
-// endToEnd gives the headers of a request without those of its connection.
+// endToEnd removes the headers of the connection from those of a request.
 func endToEnd(h http.Header) http.Header {
 	headers.StripHop(h)
 	for _, name := range []string{"Content-Length", "Expect"} {
@@ -19,14 +19,14 @@
 	return h
 }
 
-// bodiless says whether an answer has no body by its status or method (RFC
+// bodiless reports whether an answer has no body because of its status or method (RFC
 // 9110, section 6.4.1).
 func bodiless(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// writeResponse writes an answer. The length is the one that was counted, so a
-// cut on the way is seen.
+// writeResponse writes an answer. Its Content-Length is the counted length, so that
+// the caller detects a truncated answer.
 func writeResponse(w *bufio.Writer, method string, r *Response, last bool, idle time.Duration) error {
 	h := r.Header
 	length := h.Get("Content-Length")
