--- a/internal/mesh/peer/client.go
+++ b/internal/mesh/peer/client.go
@@ -11,13 +11,13 @@
 	"github.com/limpetdock/limpetdock/internal/mesh"
 )
 
-// bulkSize is the body from which on a request goes over a second connection, in
-// bytes, so that small requests don't wait behind an upload.
+// bulkSize is the body size, in bytes, from which on a request uses a second
+// connection, so that small requests don't queue behind an upload.
 const bulkSize = 16 << 10
 
-// Listener is told what peers report. Safe for concurrent use.
+// Listener receives the load reports of peers. Safe for concurrent use.
 type Listener interface {
-	// Reported takes the load of the backend server beside the node at addr.
+	// Reported is called with the load of the backend server beside the node at addr.
 	Reported(addr string, l mesh.Load)
 }
 
@@ -29,16 +29,16 @@
 	dial  func(addr string) (net.Conn, error)
 	mu    sync.Mutex
 	links map[linkKey]*link
-	// news answers and asks for news of the store; nil until it is set.
-	news atomic.Pointer[News]
+	// stateSync exchanges store state with other nodes; nil until SetStateSync is called.
+	stateSync atomic.Pointer[News]
 }
 
-// OnNews sets what answers questions of other nodes and takes their answers. It
-// must be called before the first request.
-func (c *Client) OnNews(n News) { c.news.Store(&n) }
+// SetStateSync sets how state queries of other nodes are answered and how the states
+// that they send are applied. It must be called before the first request.
+func (c *Client) OnNews(state News) { c.stateSync.Store(&state) }
 
-// Ask asks the node at addr for news of the store, if a connection to it is open.
-// The answer goes to News.Take.
+// Ask sends a state query to the node at addr. It fails if no connection to the node is
+// open. The answer is passed to StateSync.Apply.
 func (c *Client) Ask(addr string, q Question) error {
 	l := c.link(linkKey{addr: addr})
 	l.mu.Lock()
@@ -47,7 +47,7 @@
 	if w == nil {
 		return errNotConnected
 	}
-	frame, err := encode(frameAsk, 0, askBody(q))
+	frame, err := encode(frameStateQuery, 0, stateQueryBody(q))
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 	bulk bool
 }
 
-// NewClient returns a Client of the node at here.
+// NewClient returns a Client for the node at here.
 func NewClient(here mesh.Place, l Listener) *Client {
 	return &Client{
 		hello:    Hello{VM: here.VM, Region: here.Region},
@@ -78,46 +78,47 @@
 	return l
 }
 
-// Run offers a request to the node at addr and waits for what becomes of it. An
-// error that says "not run" is proof.
+// Run sends a request to the node at addr and waits for its outcome. An error whose
+// outcome is kind.NotRun means that the request has not run and will not run.
 func (c *Client) Run(ctx context.Context, addr string, r *mesh.Request) (*mesh.Answer, *kind.Error) {
 	l := c.link(linkKey{addr, len(r.Body) >= bulkSize})
 	w, waited, err := l.connect(ctx)
 	if err != nil {
 		return nil, kind.New(kind.Unreachable, "the target's node can't be reached").Because(err)
 	}
-	r = after(r, waited)
-	number, s := l.open(!r.Idempotent)
-	defer l.forget(number)
+	r = subtractElapsed(r, waited)
+	streamID, s := l.openStream(!r.Idempotent)
+	defer l.removeStream(streamID)
 	body := fromRequest(r)
-	body.Confirm = s.confirmed
-	frame, err := encode(frameRequest, number, body)
+	body.Confirm = s.needsConfirm
+	frame, err := encode(frameRequest, streamID, body)
 	if err != nil {
-		return nil, kind.New(kind.BadRequest, "the request can't be sent on").Because(err)
+		return nil, kind.New(kind.BadRequest, "the request can't be forwarded").Because(err)
 	}
 	if err := w.send(frame); err != nil {
 		return nil, kind.New(kind.Unreachable, "the target's node can't be reached").Because(err)
 	}
-	return l.wait(ctx, w, number, s)
+	return l.wait(ctx, w, streamID, s)
 }
 
-// after gives a request whose times are less by what has passed.
-func after(r *mesh.Request, passed time.Duration) *mesh.Request {
-	later := *r
-	later.Left = max(0, later.Left-passed)
-	later.AimLeft -= passed
-	later.Patience = max(0, later.Patience-passed)
-	return &later
+// subtractElapsed returns a copy of r with the elapsed time subtracted from its times.
+func subtractElapsed(r *mesh.Request, elapsed time.Duration) *mesh.Request {
+	adjusted := *r
+	adjusted.Left = max(0, adjusted.Left-elapsed)
+	adjusted.AimLeft -= elapsed
+	adjusted.Patience = max(0, adjusted.Patience-elapsed)
+	return &adjusted
 }
 
-// Warm opens the connections to peers that aren't open, so that their load
-// reports arrive before the first request.
+// Warm opens the connection to the node at addr unless it is open, so that the node's
+// load reports arrive before the first request.
 func (c *Client) Warm(ctx context.Context, addr string) error {
 	_, _, err := c.link(linkKey{addr: addr}).connect(ctx)
 	return err
 }
 
-// Keep closes the connections to all nodes but those in use.
+// CloseUnused closes the connections to nodes that are not in inUse. A connection with
+// requests in flight or a dial in progress stays open.
 func (c *Client) Keep(inUse map[string]mesh.Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/mesh/peer/confirm.go
+++ b/internal/mesh/peer/confirm.go
@@ -7,32 +7,34 @@
 	"github.com/rotisserie/eris"
 )
 
-// confirmWithin bounds the wait for a request to be confirmed, for which it holds a slot:
-// some dozens of round trips between regions.
-const confirmWithin = 400 * time.Millisecond
+// confirmTimeout bounds how long a request waits for the entry's confirmation while it
+// holds a slot: some dozens of round trips between regions.
+const confirmTimeout = 400 * time.Millisecond
 
-// errUnconfirmed is a request whose entry doesn't say in time that it may run.
-var errUnconfirmed = eris.New("the entry doesn't confirm the request")
+// errUnconfirmed is returned for a request that its entry did not confirm.
+var errUnconfirmed = eris.New("the entry did not confirm the request")
 
-// confirm asks the entry whether a request may run. With an error it must not.
+// confirm asks the entry whether a request may run. If it returns an error, the request
+// must not run.
 //
-// If a node dies, nobody knows how far the requests at it came, and those that must not run
-// twice can't be sent again. Of one that it hasn't confirmed the entry knows that it hasn't
-// run.
+// When a node dies, the entry can't tell how far the requests at that node had got, and it
+// can't resend those that must not run twice. A request that the entry has not confirmed
+// has certainly not run.
 func (c *serverConn) confirm(ctx context.Context, stream uint32) error {
-	if c.mute.Load() {
-		// A machine that went dark may have a queue full of requests here.
+	if c.unresponsive.Load() {
+		// If the entry's machine is down, many of its requests may be queued here, and each
+		// of them would hold a slot until the timeout.
 		return errUnconfirmed
 	}
 	proceed := make(chan struct{})
 	c.mu.Lock()
 	c.unconfirmed[stream] = proceed
 	c.mu.Unlock()
-	defer c.forgetUnconfirmed(stream)
-	if !c.reply(frameReady, stream, nil) {
+	defer c.removeUnconfirmed(stream)
+	if !c.sendFrame(frameReady, stream, nil) {
 		return errUnconfirmed
 	}
-	timeout := time.NewTimer(confirmWithin)
+	timeout := time.NewTimer(confirmTimeout)
 	defer timeout.Stop()
 	select {
 	case <-proceed:
@@ -40,22 +42,22 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-timeout.C:
-		c.mute.Store(true)
+		c.unresponsive.Store(true)
 		return errUnconfirmed
 	}
 }
 
-// proceed lets a request run that waits to be confirmed.
+// proceed releases a request that waits for confirmation.
 func (c *serverConn) proceed(stream uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if waits := c.unconfirmed[stream]; waits != nil {
+	if released := c.unconfirmed[stream]; released != nil {
 		delete(c.unconfirmed, stream)
-		close(waits)
+		close(released)
 	}
 }
 
-func (c *serverConn) forgetUnconfirmed(stream uint32) {
+func (c *serverConn) removeUnconfirmed(stream uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.unconfirmed, stream)
--- a/internal/mesh/peer/confirm_test.go
+++ b/internal/mesh/peer/confirm_test.go
@@ -12,9 +12,8 @@
 	"github.com/limpetdock/limpetdock/internal/mesh"
 )
 
-// confirming starts a node that confirms requests which ask for it, and a client that knows
-// that.
-func confirming(t *testing.T, run func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error)) (addr string, s *Server, c *Client) {
+// startConfirming starts a node that asks for confirmation, and a client that knows that it does.
+func startConfirming(t *testing.T, run func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error)) (addr string, s *Server, c *Client) {
 	addr, s, c, _ = start(t, func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
 		if r.Idempotent {
 			return &mesh.Answer{Status: 200}, nil
@@ -26,11 +25,11 @@
 	return addr, s, c
 }
 
-// Guards against bookings that are given up as unknown because the node died in whose queue
-// they waited.
-func TestARequestThatWaitedAtANodeThatDiesIsKnownNotToHaveRun(t *testing.T) {
+// Guards against the outcome of a request being unknown because the node in whose queue it
+// waited died.
+func TestUnconfirmedRequestIsNotRunWhenNodeDies(t *testing.T) {
 	waiting := make(chan struct{})
-	addr, s, c := confirming(t, func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
+	addr, s, c := startConfirming(t, func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
 		close(waiting)
 		<-ctx.Done()
 		require.Error(t, r.Confirm(ctx))
@@ -45,10 +44,10 @@
 	require.Equal(t, kind.NotRun, err.Said())
 }
 
-// Guards against a booking that ran at a node which died and is sent to another one.
-func TestARequestThatWasConfirmedMayHaveRunWhenItsNodeDies(t *testing.T) {
+// Guards against resending a request that may have run at a node that died.
+func TestConfirmedRequestHasUnknownOutcomeWhenNodeDies(t *testing.T) {
 	running := make(chan struct{})
-	addr, s, c := confirming(t, func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
+	addr, s, c := startConfirming(t, func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
 		require.NoError(t, r.Confirm(ctx))
 		close(running)
 		<-ctx.Done()
@@ -63,53 +62,53 @@
 	require.Equal(t, kind.Unknown, err.Said())
 }
 
-// Guards against a booking whose caller was told that it hasn't run, and that runs later.
-func TestARequestThatWasGivenUpIsNotConfirmed(t *testing.T) {
+// Guards against a request that runs after its caller received the outcome not-run.
+func TestTimedOutRequestIsNotConfirmed(t *testing.T) {
 	confirmed := make(chan error, 1)
-	given := make(chan struct{})
-	addr, _, c := confirming(t, func(_ context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
-		<-given
+	released := make(chan struct{})
+	addr, _, c := startConfirming(t, func(_ context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
+		<-released
 		confirmed <- r.Confirm(context.Background())
 		return nil, kind.New(kind.DeadlineNotRun, "not confirmed")
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	_, err := c.Run(ctx, addr, &mesh.Request{})
-	close(given)
+	close(released)
 	require.Equal(t, kind.DeadlineNotRun, err.Kind)
 	require.Equal(t, kind.NotRun, err.Said())
 	require.Error(t, <-confirmed)
 }
 
-// Guards against slots that are held for each of many requests of a machine that went dark.
-func TestRequestsOfASilentEntryDoNotEachHoldASlot(t *testing.T) {
-	mine, theirs := net.Pipe()
-	defer func() { _ = theirs.Close() }()
-	c := &serverConn{writer: newWriter(mine), unconfirmed: map[uint32]chan struct{}{}}
+// Guards against each of many requests of an unreachable entry holding a slot for confirmTimeout.
+func TestUnresponsiveEntryIsWaitedForOnce(t *testing.T) {
+	near, far := net.Pipe()
+	defer func() { _ = far.Close() }()
+	c := &serverConn{writer: newWriter(near), unconfirmed: map[uint32]chan struct{}{}}
 	defer c.writer.close()
 	go func() {
-		// The entry takes bytes and says nothing.
+		// The entry reads bytes and sends none.
 		var b [1 << 10]byte
 		for {
-			if _, err := theirs.Read(b[:]); err != nil {
+			if _, err := far.Read(b[:]); err != nil {
 				return
 			}
 		}
 	}()
 	began := time.Now()
 	require.ErrorIs(t, c.confirm(t.Context(), 1), errUnconfirmed)
-	require.GreaterOrEqual(t, time.Since(began), confirmWithin)
-	require.True(t, c.mute.Load())
+	require.GreaterOrEqual(t, time.Since(began), confirmTimeout)
+	require.True(t, c.unresponsive.Load())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	require.ErrorIs(t, c.confirm(ctx, 2), errUnconfirmed, "without a wait")
-	require.True(t, c.take(t.Context(), framePing, 0, nil))
-	require.ErrorIs(t, c.confirm(ctx, 3), context.Canceled, "it is heard again")
+	require.True(t, c.handleFrame(t.Context(), framePing, 0, nil))
+	require.ErrorIs(t, c.confirm(ctx, 3), context.Canceled, "a frame was received again")
 }
 
-// Guards against requests that wait to be confirmed at a node from before there was that, and
-// are taken for not run though they did.
-func TestOnlyANodeThatConfirmsIsAskedTo(t *testing.T) {
+// Guards against requests that wait for confirmation at a node of a version without it, and
+// are taken for not run though they ran.
+func TestConfirmationIsUsedOnlyWithPeersThatSupportIt(t *testing.T) {
 	addr, _, c, _ := start(t, func(_ context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
 		require.Nil(t, r.Confirm)
 		return &mesh.Answer{Status: 200}, nil
@@ -117,9 +116,9 @@
 	_, err := c.Run(t.Context(), addr, &mesh.Request{})
 	require.Nil(t, err)
 	l := c.link(linkKey{addr: addr})
-	_, s := l.open(true)
-	require.False(t, s.mayRun(), "its answers say that it confirms")
-	l.reported(loadBody{})
-	_, s = l.open(true)
-	require.True(t, s.mayRun())
+	_, s := l.openStream(true)
+	require.False(t, s.mayHaveRun(), "its answers report that it confirms")
+	l.handleLoad(loadBody{})
+	_, s = l.openStream(true)
+	require.True(t, s.mayHaveRun())
 }
--- a/internal/mesh/peer/dial_test.go
+++ b/internal/mesh/peer/dial_test.go
@@ -14,10 +14,10 @@
 	"github.com/limpetdock/limpetdock/internal/mesh"
 )
 
-// Guards against a request that outlasts its deadline because it opens a connection.
-func TestADialDoesNotHoldARequestBeyondItsDeadline(t *testing.T) {
+// Guards against a request that outlasts its deadline because it dials a connection.
+func TestDialDoesNotOutlastRequestDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewClient(mesh.Place{}, &heard{last: map[string]mesh.Load{}})
+		c := NewClient(mesh.Place{}, &loadRecorder{last: map[string]mesh.Load{}})
 		released := make(chan struct{})
 		c.dial = func(string) (net.Conn, error) {
 			<-released
@@ -32,14 +32,14 @@
 	})
 }
 
-// Guards against a target that is told more time than is left, as the connection to its
-// node had to be opened first.
-func TestTheTimeOfADialIsTakenOffARequestsTime(t *testing.T) {
+// Guards against a target that is sent more time than remains, because the connection to its
+// node was dialled first.
+func TestDialTimeIsSubtractedFromRequestTimes(t *testing.T) {
 	const dial = 300 * time.Millisecond
 	sent := mesh.Request{Left: time.Second, AimLeft: dial / 2, Patience: dial / 3}
 	synctest.Test(t, func(t *testing.T) {
 		var got *mesh.Request
-		c, _, stop := slowNode(t, func(_ context.Context, r *mesh.Request) *mesh.Answer {
+		c, _, stop := startSlowNode(t, func(_ context.Context, r *mesh.Request) *mesh.Answer {
 			got = r
 			return &mesh.Answer{Status: 200}
 		}, func(*wire) { time.Sleep(dial) })
--- a/internal/mesh/peer/frame.go
+++ b/internal/mesh/peer/frame.go
@@ -1,6 +1,6 @@
-// Package peer carries requests and load reports between nodes, many at a time
-// over one TCP connection: frames with a four-byte length, a type, a stream
-// number and a msgpack body. A stream is one request and what becomes of it.
+// Package peer carries requests and load reports between nodes. They are multiplexed
+// over one TCP connection in frames: a four-byte length, a type, a stream ID and a
+// msgpack body. A stream is one request and its outcome.
 package peer
 
 import (
@@ -19,76 +19,76 @@
 	"github.com/limpetdock/limpetdock/internal/mesh"
 )
 
-// frameType tells what a frame holds. A number once given is never reused.
+// frameType identifies the content of a frame. Numbers are never reused.
 type frameType uint8
 
 const (
 	frameHello frameType = 1 + iota
-	// frameRequest offers a request; answered by frameAnswer or frameRefusal.
+	// frameRequest carries a request; it is answered by a frameAnswer or frameRefusal.
 	frameRequest
 	frameAnswer
 	frameRefusal
-	// frameCancel says that nobody waits for the answer any more.
+	// frameCancel cancels a request: the sender no longer waits for the answer.
 	frameCancel
-	// frameLoad is a load report, without a stream.
+	// frameLoad is a load report. It belongs to no stream.
 	frameLoad
-	// framePing asks for a framePong at once; both are without a stream.
+	// framePing requests an immediate framePong. Neither belongs to a stream.
 	framePing
 	framePong
-	// frameAsk asks a node for what it knows of the store, and frameState is that;
-	// both are without a stream and go either way.
-	frameAsk
+	// frameStateQuery requests the store state that a node has, and frameState carries
+	// it. Neither belongs to a stream, and both are sent in either direction.
+	frameStateQuery
 	frameState
-	// frameReady says that a request which is to be confirmed has a slot, and
-	// frameProceed that it may run.
+	// frameReady reports that a request which needs confirmation has a slot, and
+	// frameProceed allows it to run.
 	frameReady
 	frameProceed
-	// frameEnd is above all types.
+	// frameEnd is greater than all types.
 	frameEnd
 )
 
 const (
-	// prefixSize is the length, the type and the stream.
+	// prefixSize is the size of the length, the type and the stream ID, in bytes.
 	prefixSize = 4 + 1 + 4
-	// maxFrame bounds a frame, in bytes. It is over the largest answer that a node
-	// holds, so that only a broken or foreign sender exceeds it.
+	// maxFrame bounds the body of a frame, in bytes. It is larger than the largest answer
+	// that a node holds in memory, so that only a broken or foreign sender exceeds it.
 	maxFrame = 20 << 20
 )
 
-var errFrame = eris.New("frame of a wrong size or type")
+var errFrame = eris.New("invalid frame size or type")
 
-// Hello opens every connection and says who dialled.
+// Hello is the first frame on every connection; it identifies the node that dialled.
 type Hello struct {
 	VM, Region string
 }
 
-// requestBody is a mesh.Request on the wire. Times are in milliseconds.
+// requestBody is the encoding of a mesh.Request. Times are in milliseconds.
 type requestBody struct {
-	ID         string
-	Method     string
-	URI        string
-	Host       string
-	Header     map[string][]string
-	Body       []byte
-	Caller     string
-	Service    string
-	Target     string
-	Idempotent bool
-	Priority   int
-	LeftMs     uint32
-	PatienceMs uint32
-	WorkMs     uint32
-	AimLeftMs  int32
-	// Confirm has the request wait for frameProceed before it runs.
+	ID                   string
+	Method               string
+	URI                  string
+	Host                 string
+	Header               map[string][]string
+	Body                 []byte
+	Caller               string
+	Service              string
+	Target               string
+	Idempotent           bool
+	Priority             int
+	RemainingMs          uint32
+	QueueTimeoutMs       uint32
+	BaseServiceMs        uint32
+	ObjectiveRemainingMs int32
+	// Confirm makes the request wait for a frameProceed before it runs.
 	Confirm bool
 }
 
 type answerBody struct {
-	Status int
-	Header map[string][]string
-	Body   []byte
-	Load   loadBody
-	WorkMs uint32
+	Status        int
+	Header        map[string][]string
+	Body          []byte
+	Load          loadBody
+	BaseServiceMs uint32
 }
 
 type refusalBody struct {
@@ -101,26 +101,27 @@
 	Load         loadBody
 }
 
-// loadBody is a mesh.Load on the wire, small because it goes with everything.
+// loadBody is the encoding of a mesh.Load. It is kept small because every answer and
+// every refusal carries one.
 type loadBody struct {
 	Running   uint16
 	Waiting   uint16
 	Slots     uint16
 	ServiceMs uint16
-	// Percent is 100 for work that takes as long as usual.
-	Percent  uint16
-	CalmInMs uint16
-	Leaving  bool
-	Revision uint64
-	Reading  bool
-	// Standing is in percent, as Percent is.
-	Standing uint16
-	// Confirms says that the node has requests confirmed that ask for it.
+	// SlowdownPercent is 100 if requests take as long as usual.
+	SlowdownPercent uint16
+	RecoversInMs    uint16
+	Leaving         bool
+	Revision        uint64
+	Reading         bool
+	// SustainedPercent is the sustained part of the slowdown.
+	SustainedPercent uint16
+	// Confirms is true if the node asks for confirmation of requests that need it.
 	Confirms bool
 }
 
-// askBody is a Question on the wire.
-type askBody struct {
+// stateQueryBody is the encoding of a StateQuery.
+type stateQueryBody struct {
 	After uint64
 	Whole bool
 }
@@ -129,8 +130,8 @@
 	return uint32(min(max(d.Milliseconds(), 0), 1<<31))
 }
 
-// signed gives milliseconds of a time that may be over.
-func signed(d time.Duration) int32 {
+// signedMilliseconds returns d in milliseconds; it is negative for a time that has passed.
+func signedMilliseconds(d time.Duration) int32 {
 	return int32(min(max(d.Milliseconds(), math.MinInt32), math.MaxInt32))
 }
 
@@ -138,8 +139,8 @@
 	return &requestBody{
 		ID: r.ID, Method: r.Method, URI: r.URI, Host: r.Host, Header: r.Header, Body: r.Body,
 		Caller: r.Caller, Service: r.Service, Target: r.Target, Idempotent: r.Idempotent,
-		Priority: r.Priority, LeftMs: milliseconds(r.Left), PatienceMs: milliseconds(r.Patience),
-		WorkMs: milliseconds(r.Work), AimLeftMs: signed(r.AimLeft),
+		Priority: r.Priority, RemainingMs: milliseconds(r.Left), QueueTimeoutMs: milliseconds(r.Patience),
+		BaseServiceMs: milliseconds(r.Work), ObjectiveRemainingMs: signedMilliseconds(r.AimLeft),
 	}
 }
 
@@ -150,10 +151,10 @@
 	return &mesh.Request{
 		ID: b.ID, Method: b.Method, URI: b.URI, Host: b.Host, Header: b.Header, Body: b.Body,
 		Caller: b.Caller, Service: b.Service, Target: b.Target, Idempotent: b.Idempotent, Priority: b.Priority,
-		Left:     time.Duration(b.LeftMs) * time.Millisecond,
-		Patience: time.Duration(b.PatienceMs) * time.Millisecond,
-		Work:     time.Duration(b.WorkMs) * time.Millisecond,
-		AimLeft:  time.Duration(b.AimLeftMs) * time.Millisecond,
+		Left:     time.Duration(b.RemainingMs) * time.Millisecond,
+		Patience: time.Duration(b.QueueTimeoutMs) * time.Millisecond,
+		Work:     time.Duration(b.BaseServiceMs) * time.Millisecond,
+		AimLeft:  time.Duration(b.ObjectiveRemainingMs) * time.Millisecond,
 	}
 }
 
@@ -162,18 +163,18 @@
 func fromLoad(l mesh.Load) loadBody {
 	return loadBody{
 		Running: clip16(l.Running), Waiting: clip16(l.Waiting), Slots: clip16(l.Slots),
-		ServiceMs: clip16(int(l.Service.Milliseconds())), Percent: clip16(int(100 * l.Slowdown)),
-		CalmInMs: clip16(int(l.CalmIn.Milliseconds())), Leaving: l.Leaving, Revision: l.Revision,
-		Reading: l.Reading, Standing: clip16(int(100 * l.Standing)), Confirms: true,
+		ServiceMs: clip16(int(l.Service.Milliseconds())), SlowdownPercent: clip16(int(100 * l.Slowdown)),
+		RecoversInMs: clip16(int(l.CalmIn.Milliseconds())), Leaving: l.Leaving, Revision: l.Revision,
+		Reading: l.Reading, SustainedPercent: clip16(int(100 * l.Standing)), Confirms: true,
 	}
 }
 
 func (b loadBody) load() mesh.Load {
 	return mesh.Load{
 		Running: int(b.Running), Waiting: int(b.Waiting), Slots: int(b.Slots),
-		Service: time.Duration(b.ServiceMs) * time.Millisecond, Slowdown: float64(b.Percent) / 100,
-		CalmIn:  time.Duration(b.CalmInMs) * time.Millisecond,
-		Leaving: b.Leaving, Revision: b.Revision, Reading: b.Reading, Standing: float64(b.Standing) / 100,
+		Service: time.Duration(b.ServiceMs) * time.Millisecond, Slowdown: float64(b.SlowdownPercent) / 100,
+		CalmIn:  time.Duration(b.RecoversInMs) * time.Millisecond,
+		Leaving: b.Leaving, Revision: b.Revision, Reading: b.Reading, Standing: float64(b.SustainedPercent) / 100,
 	}
 }
 
@@ -197,25 +198,25 @@
 	return e
 }
 
-// encode makes a frame. A nil body has no bytes.
+// encode returns a frame. A nil body is encoded as no bytes.
 func encode(t frameType, stream uint32, body any) ([]byte, error) {
-	var text bytes.Buffer
-	text.Write(make([]byte, prefixSize))
+	var buf bytes.Buffer
+	buf.Write(make([]byte, prefixSize))
 	if body != nil {
-		e := msgpack.NewEncoder(&text)
-		// Field names would be a third of a small frame.
+		e := msgpack.NewEncoder(&buf)
+		// Field names would make up a third of a small frame.
 		e.UseArrayEncodedStructs(true)
 		e.UseCompactInts(true)
 		if err := e.Encode(body); err != nil {
 			return nil, eris.Wrap(err, "encode frame")
 		}
 	}
-	frame := text.Bytes()
+	frame := buf.Bytes()
 	setPrefix(frame, t, stream)
 	return frame, nil
 }
 
-// rawFrame makes a frame, without a stream, whose body is encoded already.
+// rawFrame returns a frame without a stream whose body is already encoded.
 func rawFrame(t frameType, body []byte) []byte {
 	frame := make([]byte, prefixSize, prefixSize+len(body))
 	frame = append(frame, body...)
--- a/internal/mesh/peer/lacking.go
+++ b/internal/mesh/peer/lacking.go
@@ -9,113 +9,114 @@
 	"github.com/limpetdock/limpetdock/internal/progress"
 )
 
-// takeWithin bounds how long an answer that has arrived may take to be decoded before
-// another node is asked.
-const takeWithin = 3 * time.Second
+// decodeTimeout bounds how long a received answer may take to be decoded before another
+// node is queried.
+const decodeTimeout = 3 * time.Second
 
-// askPace is the least pace of an answer. It may stand behind requests of the same node, so
-// that all bytes count; the rate is one that small requests don't reach, and that is left
-// of a slow link which is shared with many.
-var askPace = progress.Pace{Stall: time.Second, Rate: 16 << 10}
+// answerPace is the minimum pace of an answer. The answer may be queued behind requests of
+// the same node, so all received bytes count. The rate is higher than what small requests
+// reach, and lower than the share of a slow link that is left when many connections use it.
+var answerPace = progress.Pace{Stall: time.Second, Rate: 16 << 10}
 
-// lacking asks nodes that dial this one for all they know, while nothing is known here. It
-// asks one at a time: the answers of all of them would share the node's link with each other
-// and with its own read of the store, and the first would be there as late as the last.
-type lacking struct {
-	lacks   func() bool
-	stopped atomic.Bool
-	// turn is held by the connection that is asked.
+// bootstrapper queries nodes that dial this one for their whole state while this node has
+// none. It queries one at a time: concurrent answers would share the node's link with each
+// other and with its own read of the store, and the first would arrive as late as the last.
+type bootstrapper struct {
+	needsState func() bool
+	stopped    atomic.Bool
+	// turn is a semaphore held by the connection that is being queried.
 	turn chan struct{}
 }
 
-func newLacking(lacks func() bool) *lacking {
-	return &lacking{lacks: lacks, turn: make(chan struct{}, 1)}
+func newBootstrapper(needsState func() bool) *bootstrapper {
+	return &bootstrapper{needsState: needsState, turn: make(chan struct{}, 1)}
 }
 
-// wants says whether anybody is to be asked.
-func (l *lacking) wants() bool { return !l.stopped.Load() && l.lacks() }
+// active reports whether this node still needs a state and may query for it.
+func (b *bootstrapper) active() bool { return !b.stopped.Load() && b.needsState() }
 
-// stop has nobody asked any more.
-func (l *lacking) stop() { l.stopped.Store(true) }
+// stop prevents further queries.
+func (b *bootstrapper) stop() { b.stopped.Store(true) }
 
-// ask waits for the turn of a connection, asks, and keeps the turn until the node at the
-// other end has answered or is given up. ctx ends with the connection.
-func (l *lacking) ask(ctx context.Context, c *serverConn) {
+// query waits for the connection's turn, sends the query, and keeps the turn until the node
+// at the other end has answered or has timed out. ctx ends with the connection.
+func (b *bootstrapper) query(ctx context.Context, c *serverConn) {
 	select {
-	case l.turn <- struct{}{}:
+	case b.turn <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
-	defer func() { <-l.turn }()
-	if !l.wants() {
+	defer func() { <-b.turn }()
+	if !b.active() {
 		return
 	}
-	waiting, watchdog := progress.Watch(ctx, askPace.Stall)
-	c.question.begin(watchdog)
-	defer c.question.end()
-	if c.reply(frameAsk, 0, &askBody{Whole: true}) {
+	waiting, watchdog := progress.Watch(ctx, answerPace.Stall)
+	c.query.start(watchdog)
+	defer c.query.finish()
+	if c.sendFrame(frameStateQuery, 0, &stateQueryBody{Whole: true}) {
 		<-waiting.Done()
 	}
 }
 
-// question is the one that a node is asked for all it knows. It does nothing unless it is
-// out. Safe for concurrent use.
-type question struct {
+// pendingQuery tracks the query for the whole state that was sent over a connection. Bytes
+// and answers are ignored unless a query is outstanding. Safe for concurrent use.
+type pendingQuery struct {
 	mu sync.Mutex
-	// watchdog ends the wait for the answer; nil unless the question is out.
-	watchdog *progress.Watchdog
-	begun    time.Time
-	// heard is how many bytes came since, and arrived says that the answer is among them.
-	heard   int64
-	arrived bool
+	// watchdog ends the wait for the answer; nil unless a query is outstanding.
+	watchdog  *progress.Watchdog
+	startedAt time.Time
+	// receivedBytes counts the bytes received since the query was sent, and answered is
+	// true once the answer is among them.
+	receivedBytes int64
+	answered      bool
 }
 
-// begin notes that the question is asked.
-func (q *question) begin(w *progress.Watchdog) {
+// start records that a query is sent.
+func (q *pendingQuery) start(w *progress.Watchdog) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.watchdog, q.begun = w, time.Now()
+	q.watchdog, q.startedAt = w, time.Now()
 }
 
-// end ends the wait.
-func (q *question) end() {
+// finish ends the wait for the answer.
+func (q *pendingQuery) finish() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.watchdog.Stop()
 	q.watchdog = nil
 }
 
-// hear notes bytes of the node that was asked.
-func (q *question) hear(bytes int) {
+// received records bytes that were received from the queried node.
+func (q *pendingQuery) received(bytes int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.watchdog == nil || q.arrived {
+	if q.watchdog == nil || q.answered {
 		return
 	}
-	q.heard += int64(bytes)
-	q.watchdog.Feed(askPace.Next(q.heard, time.Since(q.begun)))
+	q.receivedBytes += int64(bytes)
+	q.watchdog.Feed(answerPace.Next(q.receivedBytes, time.Since(q.startedAt)))
 }
 
-// take hands the answer on; false ends the connection. An answer that tells something
-// takes a while to be in force.
-func (q *question) take(to *News, answer []byte) bool {
-	q.expect(takeWithin)
-	taken := to.take(answer)
-	inForce := askPace.Stall
+// handleState passes an answer on; false closes the connection. A state that isn't empty
+// takes a while to take effect.
+func (q *pendingQuery) handleState(to *News, answer []byte) bool {
+	q.extend(decodeTimeout)
+	ok := to.apply(answer)
+	settle := answerPace.Stall
 	if len(answer) == 0 {
-		inForce = 0
+		settle = 0
 	}
-	q.expect(inForce)
-	return taken
+	q.extend(settle)
+	return ok
 }
 
-// expect notes that the answer has arrived, and that it is to be in force within a time.
-func (q *question) expect(within time.Duration) {
+// extend records that the answer was received and has the given time to take effect.
+func (q *pendingQuery) extend(timeout time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.watchdog == nil {
 		return
 	}
-	q.arrived = true
-	q.watchdog.Feed(within)
+	q.answered = true
+	q.watchdog.Feed(timeout)
 }
--- a/internal/mesh/peer/lacking_test.go
+++ b/internal/mesh/peer/lacking_test.go
@@ -16,44 +16,44 @@
 	"github.com/limpetdock/limpetdock/internal/mesh"
 )
 
-// starting is a node that knows nothing yet, with what it asks and is told.
-type starting struct {
+// bootstrapNode is a node without state. It counts the queries it sends and the answers it receives.
+type bootstrapNode struct {
 	server *Server
-	// give answers the question that is the nth of all, from 0, in the name of c.
-	give   func(c *Client, nth int) []byte
+	// answer answers query number nth of all, from 0, in the name of c.
+	answer func(c *Client, nth int) []byte
 	known  atomic.Bool
 	served sync.WaitGroup
 
 	mu sync.Mutex
-	// asks and answers count those of all connections, and most is how many questions
-	// were without an answer at a time.
-	asks, answers, most int
+	// queries and answers count those of all connections, and most is the largest number
+	// of queries that were outstanding at a time.
+	queries, answers, most int
 }
 
-// useful is a state that the node can use. It takes a slow link longer than the node
-// waits for a byte.
-var useful = make([]byte, 4<<20)
+// validState is a state that the node can use. A slow link takes longer to transfer it than
+// the node waits for one byte.
+var validState = make([]byte, 4<<20)
 
-// useless gives a state that the node can't use.
-func useless() []byte { return make([]byte, 100<<10) }
+// invalidState returns a state that the node can't use.
+func invalidState() []byte { return make([]byte, 100<<10) }
 
 const (
-	// publishing is how long a useful state that was decoded isn't in force, and decoding
-	// how long it takes to be decoded.
-	publishing = 300 * time.Millisecond
-	decoding   = takeWithin - publishing/2
+	// applyTime is how long a decoded valid state takes to take effect, and decodeTime how
+	// long it takes to be decoded.
+	applyTime  = 300 * time.Millisecond
+	decodeTime = decodeTimeout - applyTime/2
 )
 
-// longEnough is when nobody more is asked.
-const longEnough = time.Minute
+// settleTime is long enough for all queries to be sent.
+const settleTime = time.Minute
 
-func startLacking(t *testing.T, give func(c *Client, nth int) []byte) *starting {
-	s := &starting{give: give}
-	s.server = NewServer(node{func(ctx context.Context, _ *mesh.Request) (*mesh.Answer, *kind.Error) {
+func startBootstrap(t *testing.T, answer func(c *Client, nth int) []byte) *bootstrapNode {
+	s := &bootstrapNode{answer: answer}
+	s.server = NewServer(fakeHandler{func(ctx context.Context, _ *mesh.Request) (*mesh.Answer, *kind.Error) {
 		<-ctx.Done()
 		return nil, kind.New(kind.OutcomeUnknown, "cancelled")
 	}}, mesh.Place{})
-	s.server.OnNews(func() bool { return !s.known.Load() }, News{Take: s.take})
+	s.server.OnNews(func() bool { return !s.known.Load() }, News{Take: s.apply})
 	t.Cleanup(func() {
 		s.server.Close()
 		s.served.Wait()
@@ -61,48 +61,48 @@
 	return s
 }
 
-func (s *starting) take(state []byte) {
+func (s *bootstrapNode) apply(state []byte) {
 	s.mu.Lock()
 	s.answers++
 	s.mu.Unlock()
-	if len(state) == len(useful) {
-		time.Sleep(decoding)
-		time.AfterFunc(publishing, func() { s.known.Store(true) })
+	if len(state) == len(validState) {
+		time.Sleep(decodeTime)
+		time.AfterFunc(applyTime, func() { s.known.Store(true) })
 	}
 }
 
-// answer gives what c answers to a question.
-func (s *starting) answer(c *Client) []byte {
+// answerQuery returns the answer of c to a query.
+func (s *bootstrapNode) answerQuery(c *Client) []byte {
 	s.mu.Lock()
-	nth := s.asks
-	s.asks++
-	s.most = max(s.most, s.asks-s.answers)
+	nth := s.queries
+	s.queries++
+	s.most = max(s.most, s.queries-s.answers)
 	s.mu.Unlock()
-	return s.give(c, nth)
+	return s.answer(c, nth)
 }
 
-// asked gives how many questions were asked, and how many at a time.
-func (s *starting) asked() (asks, most int) {
+// stats returns how many queries were sent, and the largest number outstanding at a time.
+func (s *bootstrapNode) stats() (queries, most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asks, s.most
+	return s.queries, s.most
 }
 
-// accept serves a connection over a slow link and gives the other end of it.
-func (s *starting) accept(t *testing.T) net.Conn {
+// accept serves a connection over a slow link and returns the other end of it.
+func (s *bootstrapNode) accept(t *testing.T) net.Conn {
 	near, far, _ := slowLink(t)
 	s.served.Go(func() { s.server.serve(far) })
 	return near
 }
 
-// dialled has so many nodes dial this one, and gives the last of them.
-func (s *starting) dialled(t *testing.T, nodes int) (c *Client) {
+// dialFrom makes the given number of nodes dial this one, and returns the last of them.
+func (s *bootstrapNode) dialFrom(t *testing.T, nodes int) (c *Client) {
 	for range nodes {
-		c = NewClient(mesh.Place{}, &heard{last: map[string]mesh.Load{}})
+		c = NewClient(mesh.Place{}, &loadRecorder{last: map[string]mesh.Load{}})
 		c.dial = func(string) (net.Conn, error) { return s.accept(t), nil }
 		c.OnNews(News{Give: func(q Question) []byte {
 			require.Equal(t, Question{Whole: true}, q)
-			return s.answer(c)
+			return s.answerQuery(c)
 		}})
 		require.NoError(t, c.Warm(t.Context(), ""))
 		t.Cleanup(func() { c.Keep(nil) })
@@ -110,82 +110,84 @@
 	return c
 }
 
-// Guards against whole states from all nodes at once over the slow link of one that starts.
-func TestOneNodeAtATimeIsAskedForAWholeState(t *testing.T) {
+// Guards against whole states from all nodes at once over the slow link of a starting node.
+func TestNodesAreQueriedOneAtATime(t *testing.T) {
 	const nodes = 10
 	synctest.Test(t, func(t *testing.T) {
-		s := startLacking(t, func(*Client, int) []byte { return useless() })
-		s.dialled(t, nodes)
-		time.Sleep(longEnough)
-		asks, most := s.asked()
-		require.Equal(t, nodes, asks)
+		s := startBootstrap(t, func(*Client, int) []byte { return invalidState() })
+		s.dialFrom(t, nodes)
+		time.Sleep(settleTime)
+		queries, most := s.stats()
+		require.Equal(t, nodes, queries)
 		require.Equal(t, 1, most)
 	})
 }
 
-// Guards against a node that knows nothing and is waited for like one that is silent.
-func TestAnEmptyAnswerLeadsToTheNextNodeAtOnce(t *testing.T) {
+// Guards against waiting for a node that has no state as long as for an unresponsive one.
+func TestNextNodeIsQueriedAtOnceAfterEmptyAnswer(t *testing.T) {
 	const nodes = 10
 	synctest.Test(t, func(t *testing.T) {
-		s := startLacking(t, func(*Client, int) []byte { return nil })
-		s.dialled(t, nodes)
-		time.Sleep(askPace.Stall / 2)
-		asks, most := s.asked()
-		require.Equal(t, nodes, asks)
+		s := startBootstrap(t, func(*Client, int) []byte { return nil })
+		s.dialFrom(t, nodes)
+		time.Sleep(answerPace.Stall / 2)
+		queries, most := s.stats()
+		require.Equal(t, nodes, queries)
 		require.Equal(t, 1, most)
 	})
 }
 
-// Guards against questions that go on though a state is coming, and against ones that stop without a state.
-func TestNodesAreAskedUntilOneTellsTheState(t *testing.T) {
+// Guards against queries that go on while a state is arriving, and against queries that stop
+// without one.
+func TestNodesAreQueriedUntilOneSendsValidState(t *testing.T) {
 	for name, c := range map[string]struct {
-		// before answers the questions before the one that is answered with the state.
-		before func(t *testing.T, c *Client) []byte
-		asks   int
+		// before answers the queries before the one that is answered with validState.
+		before  func(t *testing.T, c *Client) []byte
+		queries int
 	}{
-		"the first tells it":           {asks: 1},
-		"some know nothing":            {func(*testing.T, *Client) []byte { return nil }, 4},
-		"some tell what can't be used": {func(*testing.T, *Client) []byte { return useless() }, 3},
+		"the first has a valid state": {queries: 1},
+		"some have no state":          {func(*testing.T, *Client) []byte { return nil }, 4},
+		"some send an invalid state":  {func(*testing.T, *Client) []byte { return invalidState() }, 3},
 		"some never answer": {func(t *testing.T, _ *Client) []byte {
 			<-t.Context().Done()
 			return nil
 		}, 3},
-		"some leave": {func(_ *testing.T, c *Client) []byte {
+		"some disconnect": {func(_ *testing.T, c *Client) []byte {
 			c.Keep(nil)
 			return nil
 		}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := startLacking(t, func(asked *Client, nth int) []byte {
-					if nth < c.asks-1 {
-						return c.before(t, asked)
+				s := startBootstrap(t, func(queried *Client, nth int) []byte {
+					if nth < c.queries-1 {
+						return c.before(t, queried)
 					}
-					return useful
+					return validState
 				})
-				s.dialled(t, 10)
-				time.Sleep(longEnough)
-				asks, _ := s.asked()
-				require.Equal(t, c.asks, asks)
+				s.dialFrom(t, 10)
+				time.Sleep(settleTime)
+				queries, _ := s.stats()
+				require.Equal(t, c.queries, queries)
 				require.True(t, s.known.Load())
 			})
 		})
 	}
 }
 
-// Guards against a node that sends all the time, tells no state and keeps others from being asked.
-func TestANodeThatOnlySendsOtherThingsIsNotWaitedFor(t *testing.T) {
+// Guards against a node that keeps sending, but no valid state, and so keeps other nodes from
+// being queried.
+func TestNodeWithoutValidStateTimesOutDespiteOtherTraffic(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer []byte
-		// size is how much is sent every ten milliseconds, in bytes.
+		// size is how much is sent every 10 milliseconds, in bytes.
 		size int
 	}{
-		"without an answer":                 {size: 100},
-		"with an answer that can't be used": {answer: rawFrame(frameState, useless()), size: 1000},
+		"without an answer":      {size: 100},
+		"with an invalid answer": {answer: rawFrame(frameState, invalidState()), size: 1000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := startLacking(t, func(*Client, int) []byte { return useful })
+				s := startBootstrap(t, func(*Client, int) []byte { return validState })
 				busy := s.accept(t)
 				hello, err := encode(frameHello, 0, &Hello{})
 				require.NoError(t, err)
@@ -193,81 +195,81 @@
 				require.NoError(t, err)
 				frame, _, _, err := decode(bufio.NewReader(busy))
 				require.NoError(t, err)
-				require.Equal(t, frameAsk, frame)
-				s.dialled(t, 10)
+				require.Equal(t, frameStateQuery, frame)
+				s.dialFrom(t, 10)
 				go keepWriting(t.Context(), busy, c.answer, rawFrame(frameCancel, make([]byte, c.size)))
-				time.Sleep(longEnough)
-				asks, _ := s.asked()
-				require.Equal(t, 1, asks)
+				time.Sleep(settleTime)
+				queries, _ := s.stats()
+				require.Equal(t, 1, queries)
 				require.True(t, s.known.Load())
 			})
 		})
 	}
 }
 
-// keepWriting writes a frame, and then another one again and again until ctx ends.
-func keepWriting(ctx context.Context, to net.Conn, first, again []byte) {
+// keepWriting writes the first frame once, and then the other one repeatedly until ctx ends.
+func keepWriting(ctx context.Context, to net.Conn, first, repeated []byte) {
 	_, err := to.Write(first)
 	for ctx.Err() == nil && err == nil {
-		_, err = to.Write(again)
+		_, err = to.Write(repeated)
 		wait(ctx, 10*time.Millisecond)
 	}
 }
 
-// Guards against a node that dials while another is asked and is then forgotten.
-func TestANodeThatDialsLaterIsAskedInItsTurn(t *testing.T) {
+// Guards against forgetting a node that dials while another one is being queried.
+func TestNodeThatDialsLaterIsQueried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startLacking(t, func(_ *Client, nth int) []byte {
+		s := startBootstrap(t, func(_ *Client, nth int) []byte {
 			if nth == 0 {
-				return useless()
+				return invalidState()
 			}
-			return useful
+			return validState
 		})
-		s.dialled(t, 1)
+		s.dialFrom(t, 1)
 		wait(t.Context(), 10*time.Millisecond)
-		s.dialled(t, 2)
-		time.Sleep(longEnough)
-		asks, most := s.asked()
-		require.Equal(t, 2, asks)
+		s.dialFrom(t, 2)
+		time.Sleep(settleTime)
+		queries, most := s.stats()
+		require.Equal(t, 2, queries)
 		require.Equal(t, 1, most)
 		s.known.Store(false)
-		s.dialled(t, 1)
-		time.Sleep(longEnough)
-		asks, _ = s.asked()
-		require.Equal(t, 3, asks)
+		s.dialFrom(t, 1)
+		time.Sleep(settleTime)
+		queries, _ = s.stats()
+		require.Equal(t, 3, queries)
 	})
 }
 
-// Guards against a node that stops and still asks others.
-func TestAStoppingNodeAsksNobody(t *testing.T) {
+// Guards against a node that is stopping and still queries others.
+func TestStoppingNodeSendsNoQueries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startLacking(t, func(*Client, int) []byte {
-			wait(t.Context(), pongWithin/2)
+		s := startBootstrap(t, func(*Client, int) []byte {
+			wait(t.Context(), pongTimeout/2)
 			return nil
 		})
-		c := s.dialled(t, 10)
-		// Stopping waits for this request.
+		c := s.dialFrom(t, 10)
+		// The stop waits for this request.
 		go c.Run(t.Context(), "", &mesh.Request{})
-		wait(t.Context(), pongWithin/4)
-		finish(s.server)
+		wait(t.Context(), pongTimeout/4)
+		drain(s.server)
 		s.served.Wait()
-		asks, _ := s.asked()
-		require.Equal(t, 1, asks)
+		queries, _ := s.stats()
+		require.Equal(t, 1, queries)
 	})
 }
 
-// Guards against a question that outlives its server.
-func TestAClosedServerLeavesNoQuestion(t *testing.T) {
+// Guards against a query that outlives its server.
+func TestQueriesEndWhenServerCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startLacking(t, func(*Client, int) []byte {
+		s := startBootstrap(t, func(*Client, int) []byte {
 			<-t.Context().Done()
 			return nil
 		})
-		s.dialled(t, 10)
+		s.dialFrom(t, 10)
 		time.Sleep(10 * time.Millisecond)
 		s.server.Close()
 		s.served.Wait()
-		asks, _ := s.asked()
-		require.Equal(t, 1, asks)
+		queries, _ := s.stats()
+		require.Equal(t, 1, queries)
 	})
 }
--- a/internal/mesh/peer/link.go
+++ b/internal/mesh/peer/link.go
@@ -20,65 +20,65 @@
 // regions.
 const dialTimeout = 700 * time.Millisecond
 
-var errSilent = eris.New("the connection to the peer ended or went silent")
+var errConnLost = eris.New("the connection to the peer closed or timed out")
 
-// link is one connection to a peer, opened when it is first needed and again
-// after it broke.
+// link is a connection to a peer. It is dialled when it is first needed and again after
+// it broke.
 type link struct {
 	client *Client
 	key    linkKey
 	mu     sync.Mutex
-	// dialing is closed when a dial under way has ended, and dialFailed why the last one
-	// failed; nil if it didn't.
-	dialing    chan struct{}
-	dialFailed error
-	writer     *writer
-	life       liveness
-	next       uint32
-	streams    map[uint32]*stream
-	// confirms says that the peer has requests confirmed that ask for it.
+	// dialing is closed when the dial in progress has ended; nil if there is none. dialErr
+	// is the error of the last dial; nil if it succeeded.
+	dialing      chan struct{}
+	dialErr      error
+	writer       *writer
+	liveness     liveness
+	lastStreamID uint32
+	streams      map[uint32]*stream
+	// confirms is true if the peer asks for confirmation of requests that need it.
 	confirms bool
 }
 
-// stream is a request that is out.
+// stream is a request in flight.
 type stream struct {
-	ended chan reply
-	// confirmed says that the request doesn't run before the peer has asked, and proceeds
-	// that it has asked and was told yes.
-	confirmed, proceeds bool
+	done chan result
+	// needsConfirm is true if the request doesn't run before the peer has asked for
+	// confirmation, and released is true once the peer was sent the confirmation.
+	needsConfirm, released bool
 }
 
-// mayRun says whether the request may have run or may still run.
-func (s *stream) mayRun() bool { return !s.confirmed || s.proceeds }
+// mayHaveRun reports whether the request may have run or may still run.
+func (s *stream) mayHaveRun() bool { return !s.needsConfirm || s.released }
 
-type reply struct {
+type result struct {
 	answer *mesh.Answer
 	err    *kind.Error
 }
 
-// wait waits for the end of a stream, and asks the peer whether it is there when
-// nothing comes for a while.
-func (l *link) wait(ctx context.Context, w *writer, number uint32, s *stream) (*mesh.Answer, *kind.Error) {
+// wait waits for the end of a stream, and pings the peer when nothing is received for a
+// while.
+func (l *link) wait(ctx context.Context, w *writer, streamID uint32, s *stream) (*mesh.Answer, *kind.Error) {
 	check := time.NewTimer(pingAfter)
 	defer check.Stop()
 	for {
 		select {
-		case r := <-s.ended:
+		case r := <-s.done:
 			return r.answer, r.err
 		case <-ctx.Done():
-			return nil, l.giveUp(ctx, w, number, s)
+			return nil, l.cancelStream(ctx, w, streamID, s)
 		case <-check.C:
 			check.Reset(l.check(w))
 		}
 	}
 }
 
-// giveUp ends a request for which nobody waits any more, and tells what became of it.
-func (l *link) giveUp(ctx context.Context, w *writer, number uint32, s *stream) *kind.Error {
-	// From then on the peer isn't told to proceed.
-	l.forget(number)
-	if frame, err := encode(frameCancel, number, nil); err == nil {
-		// If it can't be sent, the connection ends, and that cancels as well.
+// cancelStream ends a request that the caller no longer waits for and returns its outcome.
+func (l *link) cancelStream(ctx context.Context, w *writer, streamID uint32, s *stream) *kind.Error {
+	// From here on the peer is not sent a frameProceed.
+	l.removeStream(streamID)
+	if frame, err := encode(frameCancel, streamID, nil); err == nil {
+		// If the frame can't be sent, the connection is closed, which cancels the request too.
 		_ = w.send(frame)
 	}
 	l.mu.Lock()
@@ -86,55 +86,56 @@
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
 		return kind.New(kind.OutcomeUnknown, "the caller left").Because(ctx.Err())
-	case s.mayRun():
-		return kind.New(kind.DeadlineUnknown, "the wait for the target ended").Because(ctx.Err())
+	case s.mayHaveRun():
+		return kind.New(kind.DeadlineUnknown, "timed out waiting for the target").Because(ctx.Err())
 	}
-	return kind.New(kind.DeadlineNotRun, "the wait for a slot at the target ended").Because(ctx.Err())
+	return kind.New(kind.DeadlineNotRun, "timed out waiting for a slot at the target").Because(ctx.Err())
 }
 
-// proceed lets the peer run a request, unless nobody waits for it any more.
-func (l *link) proceed(w *writer, number uint32) bool {
+// proceed allows the peer to run a request unless the caller no longer waits for it. false
+// closes the connection.
+func (l *link) proceed(w *writer, streamID uint32) bool {
 	l.mu.Lock()
-	s := l.streams[number]
+	s := l.streams[streamID]
 	if s != nil {
-		s.proceeds = true
+		s.released = true
 	}
 	l.mu.Unlock()
 	if s == nil {
-		// The peer hears of it by a frameCancel.
+		// The request was cancelled, so the peer is sent a frameCancel.
 		return true
 	}
-	frame, err := encode(frameProceed, number, nil)
+	frame, err := encode(frameProceed, streamID, nil)
 	return err == nil && w.send(frame) == nil
 }
 
-// reported takes a load report of the peer.
-func (l *link) reported(b loadBody) {
+// handleLoad handles a load report of the peer.
+func (l *link) handleLoad(b loadBody) {
 	l.mu.Lock()
 	l.confirms = b.Confirms
 	l.mu.Unlock()
 	l.client.listener.Reported(l.key.addr, b.load())
 }
 
-// open begins a request. Where the peer is known to ask, one that must not run twice is
-// confirmed: if the connection breaks before, it is known not to have run.
-func (l *link) open(once bool) (uint32, *stream) {
+// openStream starts a request. One that must not run twice needs confirmation if the peer
+// supports it: if the connection breaks before that, the request is known not to have run.
+func (l *link) openStream(atMostOnce bool) (uint32, *stream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.next++
-	s := &stream{ended: make(chan reply, 1), confirmed: once && l.confirms}
-	l.streams[l.next] = s
-	return l.next, s
+	l.lastStreamID++
+	s := &stream{done: make(chan result, 1), needsConfirm: atMostOnce && l.confirms}
+	l.streams[l.lastStreamID] = s
+	return l.lastStreamID, s
 }
 
-func (l *link) forget(number uint32) {
+func (l *link) removeStream(streamID uint32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.streams, number)
+	delete(l.streams, streamID)
 }
 
-// connect gives the open connection, or has it opened and waits until it is or ctx ends.
-// waited is how long that took; 0 for a connection that was open.
+// connect returns the open connection, or dials and waits until the dial or ctx ends.
+// waited is how long that took; 0 if the connection was open already.
 func (l *link) connect(ctx context.Context) (w *writer, waited time.Duration, err error) {
 	l.mu.Lock()
 	if l.writer != nil {
@@ -145,10 +146,10 @@
 		l.dialing = make(chan struct{})
 		go l.dial()
 	}
-	ended, began := l.dialing, time.Now()
+	done, began := l.dialing, time.Now()
 	l.mu.Unlock()
 	select {
-	case <-ended:
+	case <-done:
 	case <-ctx.Done():
 		return nil, time.Since(began), ctx.Err()
 	}
@@ -156,10 +157,10 @@
 	defer l.mu.Unlock()
 	waited = time.Since(began)
 	switch {
-	case l.dialFailed != nil:
-		return nil, waited, eris.Wrap(l.dialFailed, "open connection to peer")
+	case l.dialErr != nil:
+		return nil, waited, eris.Wrap(l.dialErr, "open connection to peer")
 	case l.writer == nil:
-		return nil, waited, errSilent
+		return nil, waited, errConnLost
 	}
 	return l.writer, waited, nil
 }
@@ -170,22 +171,22 @@
 	return d.Dial("tcp", addr)
 }
 
-// dial opens the connection for all that wait for it.
+// dial opens the connection for all requests that wait for it.
 func (l *link) dial() {
 	raw, err := l.client.dial(l.key.addr)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err == nil {
-		err = l.greet(raw)
+		err = l.handshake(raw)
 	}
-	l.dialFailed = err
+	l.dialErr = err
 	close(l.dialing)
 	l.dialing = nil
 }
 
-// greet says hello over a connection that was opened, and begins to read it. The mutex is
-// held.
-func (l *link) greet(raw net.Conn) error {
+// handshake sends the Hello frame over a new connection and starts reading from it. l.mu
+// must be held.
+func (l *link) handshake(raw net.Conn) error {
 	w := newWriter(raw)
 	frame, err := encode(frameHello, 0, &l.client.hello)
 	if err == nil {
@@ -195,18 +196,18 @@
 		w.close()
 		return err
 	}
-	// The process at the other end may be another one than before, of another version.
-	l.writer, l.life, l.confirms = w, liveness{heard: time.Now()}, false
+	// The peer may be a new process of another version.
+	l.writer, l.liveness, l.confirms = w, liveness{lastReceived: time.Now()}, false
 	go l.read(raw, w)
 	return nil
 }
 
-// read takes frames until the connection ends, and then ends every stream on it.
+// read handles frames until the connection ends, and then fails all of its streams.
 func (l *link) read(raw net.Conn, w *writer) {
-	reader := bufio.NewReader(hearing{raw, l.hear})
+	reader := bufio.NewReader(observedConn{raw, l.noteReceived})
 	for {
-		t, number, body, err := decode(reader)
-		if err != nil || !l.take(w, t, number, body) {
+		t, streamID, body, err := decode(reader)
+		if err != nil || !l.handleFrame(w, t, streamID, body) {
 			break
 		}
 	}
@@ -214,50 +215,50 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.writer = nil
-	for number, s := range l.streams {
-		delete(l.streams, number)
-		s.ended <- reply{err: s.broken()}
+	for streamID, s := range l.streams {
+		delete(l.streams, streamID)
+		s.done <- result{err: s.closeError()}
 	}
 }
 
-// broken tells what the end of the connection says of the request.
-func (s *stream) broken() *kind.Error {
-	if s.mayRun() {
-		return kind.New(kind.OutcomeUnknown, "the connection to the target's node broke").Because(errSilent)
+// closeError returns the error for a request whose connection broke.
+func (s *stream) closeError() *kind.Error {
+	if s.mayHaveRun() {
+		return kind.New(kind.OutcomeUnknown, "the connection to the target's node broke").Because(errConnLost)
 	}
-	return kind.New(kind.Unreachable, "the connection to the target's node broke before the request ran").Because(errSilent)
+	return kind.New(kind.Unreachable, "the connection to the target's node broke before the request ran").Because(errConnLost)
 }
 
-func (l *link) take(w *writer, t frameType, number uint32, body []byte) bool {
+func (l *link) handleFrame(w *writer, t frameType, streamID uint32, body []byte) bool {
 	switch t {
 	case frameAnswer:
 		var a answerBody
 		if msgpack.Unmarshal(body, &a) != nil {
 			return false
 		}
-		l.reported(a.Load)
-		l.end(number, reply{answer: &mesh.Answer{
-			Status: a.Status, Header: a.Header, Body: a.Body, Work: time.Duration(a.WorkMs) * time.Millisecond,
+		l.handleLoad(a.Load)
+		l.endStream(streamID, result{answer: &mesh.Answer{
+			Status: a.Status, Header: a.Header, Body: a.Body, Work: time.Duration(a.BaseServiceMs) * time.Millisecond,
 		}})
 	case frameRefusal:
 		var r refusalBody
 		if msgpack.Unmarshal(body, &r) != nil {
 			return false
 		}
-		l.reported(r.Load)
-		l.end(number, reply{err: r.error()})
+		l.handleLoad(r.Load)
+		l.endStream(streamID, result{err: r.error()})
 	case frameLoad:
 		var b loadBody
 		if msgpack.Unmarshal(body, &b) != nil {
 			return false
 		}
-		l.reported(b)
+		l.handleLoad(b)
 	case frameReady:
-		return l.proceed(w, number)
-	case frameAsk:
-		return l.client.news.Load().give(w, body)
+		return l.proceed(w, streamID)
+	case frameStateQuery:
+		return l.client.stateSync.Load().answer(w, body)
 	case frameState:
-		return l.client.news.Load().take(body)
+		return l.client.stateSync.Load().apply(body)
 	case framePong:
 	default:
 		return false
@@ -265,12 +266,12 @@
 	return true
 }
 
-func (l *link) end(number uint32, r reply) {
+func (l *link) endStream(streamID uint32, r result) {
 	l.mu.Lock()
-	s := l.streams[number]
-	delete(l.streams, number)
+	s := l.streams[streamID]
+	delete(l.streams, streamID)
 	l.mu.Unlock()
 	if s != nil {
-		s.ended <- r
+		s.done <- r
 	}
 }
--- a/internal/mesh/peer/liveness.go
+++ b/internal/mesh/peer/liveness.go
@@ -8,52 +8,53 @@
 )
 
 const (
-	// pingAfter is how long a request may be out without a byte of the peer before it
-	// is asked whether it is there, and pongWithin how long nothing may move then. A
-	// connection may go silent for good while new ones work.
-	pingAfter  = 400 * time.Millisecond
-	pongWithin = 600 * time.Millisecond
-	// lookEvery is the pause between looks whether something moves.
-	lookEvery = 50 * time.Millisecond
+	// pingAfter is how long a request may be in flight without a byte received from the
+	// peer before the peer is pinged, and pongTimeout how long nothing may make progress
+	// after that. A connection may stop delivering for good while new ones work.
+	pingAfter   = 400 * time.Millisecond
+	pongTimeout = 600 * time.Millisecond
+	// checkInterval is the pause between checks for progress.
+	checkInterval = 50 * time.Millisecond
 )
 
-// liveness tells a connection that went silent from one that is busy. A ping waits
-// behind what is queued before it, and its answer behind what the peer has queued; on
-// a slow link either takes long. So bytes count as life, not frames: those of the
-// peer, and of the own ones those before the ping that the peer acknowledged. Later
-// ones don't, or a connection that takes bytes and gives none would never be found.
+// liveness tells an unresponsive connection from a busy one. A ping is queued behind
+// earlier frames, and the pong behind what the peer has queued; on a slow link either
+// takes long. So progress is measured in bytes, not frames: bytes received from the peer,
+// and bytes queued before the ping that the peer acknowledged. Bytes queued later don't
+// count, or a connection that accepts bytes and returns none would never be detected.
 type liveness struct {
-	// heard is when bytes of the peer last came, and pinged when it was last pinged.
-	heard, pinged time.Time
-	// ahead is how many bytes were queued before the ping since the connection was
-	// opened, and acknowledged how many the peer had by the last look.
-	ahead, acknowledged uint64
-	// moved is when bytes before the ping were last acknowledged, or the ping was queued.
-	moved time.Time
+	// lastReceived is when bytes were last received from the peer, and pingedAt when it was
+	// last pinged.
+	lastReceived, pingedAt time.Time
+	// pingOffset is how many bytes were queued before the ping since the connection was
+	// opened, and acknowledged how many the peer had acknowledged at the last check.
+	pingOffset, acknowledged uint64
+	// lastProgress is when bytes before the ping were last acknowledged, or the ping was queued.
+	lastProgress time.Time
 }
 
-// asked says whether a ping is out and nothing came since.
-func (l *liveness) asked() bool { return l.heard.Before(l.pinged) }
+// awaitingPong reports whether nothing was received since the last ping.
+func (l *liveness) awaitingPong() bool { return l.lastReceived.Before(l.pingedAt) }
 
-// ping notes that a ping was queued behind so many bytes.
-func (l *liveness) ping(now time.Time, ahead, acknowledged uint64) {
-	l.pinged, l.moved = now, now
-	l.ahead, l.acknowledged = ahead, acknowledged
+// ping records that a ping was queued at the given stream offset.
+func (l *liveness) ping(now time.Time, offset, acknowledged uint64) {
+	l.pingedAt, l.lastProgress = now, now
+	l.pingOffset, l.acknowledged = offset, acknowledged
 }
 
-// silent says whether nothing moves any more on a connection with a ping out.
-func (l *liveness) silent(now time.Time, acknowledged uint64) bool {
+// stalled reports whether a connection with an outstanding ping makes no progress.
+func (l *liveness) stalled(now time.Time, acknowledged uint64) bool {
 	if acknowledged > l.acknowledged {
-		if l.acknowledged < l.ahead {
-			l.moved = now
+		if l.acknowledged < l.pingOffset {
+			l.lastProgress = now
 		}
 		l.acknowledged = acknowledged
 	}
-	return now.Sub(l.moved) >= pongWithin
+	return now.Sub(l.lastProgress) >= pongTimeout
 }
 
-// check pings a peer that wasn't heard of for a while, and closes a connection on
-// which nothing moves. It gives the time to the next check.
+// check pings a peer from which nothing was received for a while, and closes a stalled
+// connection. It returns the time to the next check.
 func (l *link) check(w *writer) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,40 +62,40 @@
 		return pingAfter
 	}
 	now := time.Now()
-	if l.life.asked() {
-		if l.life.silent(now, stall.Acknowledged(w.conn)) {
+	if l.liveness.awaitingPong() {
+		if l.liveness.stalled(now, stall.Acknowledged(w.conn)) {
 			go w.close()
 		}
-		return lookEvery
+		return checkInterval
 	}
-	if quiet := now.Sub(l.life.heard); quiet < pingAfter {
-		return pingAfter - quiet
+	if idle := now.Sub(l.liveness.lastReceived); idle < pingAfter {
+		return pingAfter - idle
 	}
 	if frame, err := encode(framePing, 0, nil); err == nil {
-		// If it can't be sent the connection ends.
-		ahead, _ := w.enqueue(frame)
-		l.life.ping(now, ahead, stall.Acknowledged(w.conn))
+		// If the ping can't be sent, the connection is closed.
+		offset, _ := w.enqueue(frame)
+		l.liveness.ping(now, offset, stall.Acknowledged(w.conn))
 	}
-	return lookEvery
+	return checkInterval
 }
 
-// hear notes that bytes of the peer came.
-func (l *link) hear(int) {
+// noteReceived records that bytes were received from the peer.
+func (l *link) noteReceived(int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.life.heard = time.Now()
+	l.liveness.lastReceived = time.Now()
 }
 
-// hearing tells when bytes of the peer come, and how many.
-type hearing struct {
-	conn net.Conn
-	hear func(bytes int)
+// observedConn calls onRead with the number of bytes of each read from a connection.
+type observedConn struct {
+	conn   net.Conn
+	onRead func(bytes int)
 }
 
-func (h hearing) Read(p []byte) (int, error) {
-	n, err := h.conn.Read(p)
+func (o observedConn) Read(p []byte) (int, error) {
+	n, err := o.conn.Read(p)
 	if n > 0 {
-		h.hear(n)
+		o.onRead(n)
 	}
 	return n, err
 }
--- a/internal/mesh/peer/news.go
+++ b/internal/mesh/peer/news.go
@@ -5,43 +5,43 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Question asks a node for what it knows of the store.
+// StateQuery asks a node for the store state that it has.
 type Question struct {
-	// After is the revision up to which the one that asks knows everything.
+	// After is the revision up to which the sender has the state.
 	After uint64
-	// Whole says that everything is wanted, however large it is.
+	// Whole requests the whole state, however large it is.
 	Whole bool
 }
 
-// News answers questions of other nodes about the store and takes their answers.
+// StateSync answers state queries of other nodes and applies the states that they send.
 // Both are opaque to this package. Safe for concurrent use.
 type News struct {
-	// Give answers a question; an empty answer says that the store is to be asked.
+	// Answer returns the state for a query. If it is empty, the store has to be queried.
 	Give func(Question) []byte
-	// Take takes an answer.
+	// Apply applies the answer to a query.
 	Take func(answer []byte)
 }
 
 var errNotConnected = eris.New("no connection to the peer is open")
 
-// take takes an answer; false ends the connection.
-func (n *News) take(answer []byte) bool {
-	if n == nil {
+// apply passes an answer on; false closes the connection.
+func (s *News) apply(answer []byte) bool {
+	if s == nil {
 		return false
 	}
-	n.Take(answer)
+	s.Take(answer)
 	return true
 }
 
-// give answers a question; false ends the connection.
-func (n *News) give(w *writer, body []byte) bool {
-	if n == nil {
+// answer answers a query; false closes the connection.
+func (s *News) answer(w *writer, body []byte) bool {
+	if s == nil {
 		return false
 	}
-	var ask askBody
-	if msgpack.Unmarshal(body, &ask) != nil {
+	var query stateQueryBody
+	if msgpack.Unmarshal(body, &query) != nil {
 		return false
 	}
-	// One that can't be told has its connection closed and is dialled again.
-	return w.send(rawFrame(frameState, n.Give(Question(ask)))) == nil
+	// If the answer can't be sent, the connection is closed and is dialled again.
+	return w.send(rawFrame(frameState, s.Give(Question(query)))) == nil
 }
--- a/internal/mesh/peer/peer_test.go
+++ b/internal/mesh/peer/peer_test.go
@@ -19,50 +19,50 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// node runs requests by a function.
-type node struct {
+// fakeHandler is a Handler that runs requests with a function.
+type fakeHandler struct {
 	run func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error)
 }
 
-func (n node) Run(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
+func (n fakeHandler) Run(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
 	return n.run(ctx, r)
 }
 
-func (n node) Load() mesh.Load {
+func (n fakeHandler) Load() mesh.Load {
 	return mesh.Load{Running: 2, Slots: 6, Slowdown: 1.5, CalmIn: 120 * time.Millisecond, Revision: 9}
 }
 
-// heard keeps the last load of each node.
-type heard struct {
+// loadRecorder is a Listener that keeps all reports and the last one of each node.
+type loadRecorder struct {
 	mu   sync.Mutex
 	last map[string]mesh.Load
 	all  []mesh.Load
 }
 
-func (h *heard) Reported(addr string, l mesh.Load) {
+func (h *loadRecorder) Reported(addr string, l mesh.Load) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.last[addr] = l
 	h.all = append(h.all, l)
 }
 
-func (h *heard) of(addr string) mesh.Load {
+func (h *loadRecorder) load(addr string) mesh.Load {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.last[addr]
 }
 
-func start(t *testing.T, run func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error)) (addr string, s *Server, c *Client, h *heard) {
+func start(t *testing.T, run func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error)) (addr string, s *Server, c *Client, h *loadRecorder) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	here := mesh.Place{VM: "a", Region: "rs"}
-	s = NewServer(node{run}, here)
+	s = NewServer(fakeHandler{run}, here)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		_ = s.Serve(l)
 	}()
-	h = &heard{last: map[string]mesh.Load{}}
+	h = &loadRecorder{last: map[string]mesh.Load{}}
 	c = NewClient(here, h)
 	t.Cleanup(func() {
 		c.Keep(nil)
@@ -73,7 +73,7 @@
 	return l.Addr().String(), s, c, h
 }
 
-func TestARequestAndItsAnswerTravelWhole(t *testing.T) {
+func TestRequestAndAnswerRoundTrip(t *testing.T) {
 	got := make(chan *mesh.Request, 1)
 	addr, _, c, h := start(t, func(_ context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
 		got <- r
@@ -93,10 +93,10 @@
 	require.Equal(t, []string{"b", "c"}, answer.Header["A"])
 	require.Equal(t, "body", string(answer.Body))
 	require.Equal(t, 30*time.Millisecond, answer.Work)
-	require.Equal(t, node{}.Load(), h.of(addr))
+	require.Equal(t, fakeHandler{}.Load(), h.load(addr))
 }
 
-func TestARefusalKeepsWhatItProves(t *testing.T) {
+func TestRefusalKeepsOutcomeAndTimes(t *testing.T) {
 	addr, _, c, _ := start(t, func(context.Context, *mesh.Request) (*mesh.Answer, *kind.Error) {
 		return nil, &kind.Error{
 			Kind: kind.Overloaded, Message: "full", Wait: 70 * time.Millisecond, RetryAfter: 90 * time.Millisecond, FromBackend: true,
@@ -110,8 +110,8 @@
 	require.True(t, err.FromBackend)
 }
 
-// Many requests share a connection. A slow one must not hold up the others.
-func TestRequestsDoNotWaitForEachOther(t *testing.T) {
+// Many requests share a connection. Guards against a slow one that delays the others.
+func TestSlowRequestDoesNotDelayOthers(t *testing.T) {
 	release := make(chan struct{})
 	addr, _, c, _ := start(t, func(_ context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
 		if r.ID == "slow" {
@@ -133,9 +133,9 @@
 	require.Equal(t, "slow", <-slow)
 }
 
-// A caller leaves while its request runs on another VM. That node must learn of
-// it, or its backend server goes on working for nobody.
-func TestACancelReachesTheNode(t *testing.T) {
+// Guards against a backend server that keeps working on a request whose caller has
+// disconnected from another VM.
+func TestCancelReachesNode(t *testing.T) {
 	running, ended := make(chan struct{}), make(chan struct{})
 	addr, _, c, _ := start(t, func(ctx context.Context, _ *mesh.Request) (*mesh.Answer, *kind.Error) {
 		close(running)
@@ -153,9 +153,9 @@
 	<-ended
 }
 
-// A node is killed while it runs a booking. Nobody can tell whether it ran, so
-// the entry must be told "unknown", and at once.
-func TestABrokenConnectionLeavesTheOutcomeOpen(t *testing.T) {
+// Guards against a wrong or late outcome when a node is killed while it runs a request.
+// Whether it ran can't be known, so the outcome must be unknown, at once.
+func TestOutcomeIsUnknownAfterConnectionBreaks(t *testing.T) {
 	running := make(chan struct{})
 	addr, s, c, _ := start(t, func(ctx context.Context, _ *mesh.Request) (*mesh.Answer, *kind.Error) {
 		close(running)
@@ -171,10 +171,10 @@
 	require.Equal(t, kind.Unknown, err.Said())
 }
 
-// Something between two nodes has lost track of their connection: it takes bytes
-// and gives none, while new connections work. The request must not wait on it
-// until its deadline.
-func TestASilentConnectionIsGivenUp(t *testing.T) {
+// Guards against a request that waits until its deadline on a connection that accepts
+// bytes and returns none while new connections work, as when a device between two nodes
+// has lost the connection's state.
+func TestUnresponsiveConnectionIsClosed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	accepted := make(chan net.Conn, 1)
@@ -183,95 +183,95 @@
 			accepted <- conn
 		}
 	}()
-	c := NewClient(mesh.Place{}, &heard{last: map[string]mesh.Load{}})
+	c := NewClient(mesh.Place{}, &loadRecorder{last: map[string]mesh.Load{}})
 	_, failure := c.Run(t.Context(), l.Addr().String(), &mesh.Request{})
 	require.Equal(t, kind.OutcomeUnknown, failure.Kind)
-	require.ErrorIs(t, failure.Cause, errSilent)
+	require.ErrorIs(t, failure.Cause, errConnLost)
 	require.NoError(t, (<-accepted).Close())
 	require.NoError(t, l.Close())
 }
 
-func TestNobodyListeningIsUnreachable(t *testing.T) {
+func TestRefusedDialIsUnreachable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
 	require.NoError(t, l.Close())
-	c := NewClient(mesh.Place{}, &heard{})
+	c := NewClient(mesh.Place{}, &loadRecorder{})
 	_, failure := c.Run(t.Context(), addr, &mesh.Request{})
 	require.Equal(t, kind.Unreachable, failure.Kind)
 	require.Equal(t, kind.NotRun, failure.Said())
 }
 
-func TestReportsReachTheOwnRegionOnly(t *testing.T) {
+func TestRegionReportsStayInRegion(t *testing.T) {
 	addr, s, near, h := start(t, nil)
-	far := &heard{last: map[string]mesh.Load{}}
+	far := &loadRecorder{last: map[string]mesh.Load{}}
 	other := NewClient(mesh.Place{VM: "b", Region: "sc"}, far)
 	defer other.Keep(nil)
 	require.NoError(t, near.Warm(t.Context(), addr))
 	require.NoError(t, other.Warm(t.Context(), addr))
 	require.Eventually(t, func() bool {
 		s.Tell(mesh.Load{Slots: 3}, Region)
-		return h.of(addr).Slots == 3
+		return h.load(addr).Slots == 3
 	}, time.Minute, time.Millisecond)
-	require.Zero(t, far.of(addr).Slots)
+	require.Zero(t, far.load(addr).Slots)
 	require.Eventually(t, func() bool {
 		s.Tell(mesh.Load{Slots: 4, Leaving: true}, Everybody)
-		return far.of(addr).Slots == 4 && far.of(addr).Leaving
+		return far.load(addr).Slots == 4 && far.load(addr).Leaving
 	}, time.Minute, time.Millisecond)
 }
 
-// Changes of load go to nodes that use the target, as fast as it changes. One that has
-// sent nothing lately is left out until the next report to the whole region.
-func TestChangesOfLoadReachThoseWhoUseTheTarget(t *testing.T) {
+// Changes of load are reported at once to nodes that use the target. A node that has sent
+// no request recently receives only the next report to the whole region.
+func TestSenderReportsReachOnlyRecentSenders(t *testing.T) {
 	addr, s, user, h := start(t, func(context.Context, *mesh.Request) (*mesh.Answer, *kind.Error) {
 		return &mesh.Answer{Status: 200}, nil
 	})
-	idle := &heard{last: map[string]mesh.Load{}}
+	idle := &loadRecorder{last: map[string]mesh.Load{}}
 	other := NewClient(mesh.Place{VM: "b", Region: "rs"}, idle)
 	defer other.Keep(nil)
 	require.NoError(t, other.Warm(t.Context(), addr))
 	_, failure := user.Run(t.Context(), addr, &mesh.Request{})
 	require.Nil(t, failure)
 	s.Tell(mesh.Load{Slots: 3}, Users)
-	require.Eventually(t, func() bool { return h.of(addr).Slots == 3 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return h.load(addr).Slots == 3 }, time.Minute, time.Millisecond)
 	require.Eventually(t, func() bool {
 		s.Tell(mesh.Load{Slots: 4}, Region)
-		return idle.of(addr).Slots == 4
+		return idle.load(addr).Slots == 4
 	}, time.Minute, time.Millisecond)
 	idle.mu.Lock()
 	defer idle.mu.Unlock()
-	require.NotContains(t, idle.all, mesh.Load{Slots: 3}, "that went to users only")
+	require.NotContains(t, idle.all, mesh.Load{Slots: 3}, "it was sent only to recent senders")
 }
 
-// A node starts while the store is away and knows no other. One that dials it still
-// knows everything and tells it when asked; one that has its state isn't told.
-func TestANodeWithoutStateIsToldByWhoDialsIt(t *testing.T) {
-	for _, lacks := range []bool{true, false} {
+// A node that starts while the store is unavailable knows no other node. It queries a node
+// that dials it for its state; a node that has state sends no query.
+func TestNodeWithoutStateQueriesNodeThatDialsIt(t *testing.T) {
+	for _, needsState := range []bool{true, false} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		s := NewServer(node{func(context.Context, *mesh.Request) (*mesh.Answer, *kind.Error) {
+		s := NewServer(fakeHandler{func(context.Context, *mesh.Request) (*mesh.Answer, *kind.Error) {
 			return &mesh.Answer{Status: 200}, nil
 		}}, mesh.Place{})
-		told := make(chan string, 1)
-		s.OnNews(func() bool { return lacks }, News{Take: func(state []byte) { told <- string(state) }})
+		received := make(chan string, 1)
+		s.OnNews(func() bool { return needsState }, News{Take: func(state []byte) { received <- string(state) }})
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
 			_ = s.Serve(l)
 		}()
-		c := NewClient(mesh.Place{}, &heard{last: map[string]mesh.Load{}})
+		c := NewClient(mesh.Place{}, &loadRecorder{last: map[string]mesh.Load{}})
 		c.OnNews(News{Give: func(q Question) []byte {
 			require.Equal(t, Question{Whole: true}, q)
-			return []byte("all that I know")
+			return []byte("the whole state")
 		}})
 		_, failure := c.Run(t.Context(), l.Addr().String(), &mesh.Request{})
 		require.Nil(t, failure)
-		if lacks {
-			require.Equal(t, "all that I know", <-told)
+		if needsState {
+			require.Equal(t, "the whole state", <-received)
 		}
 		_, failure = c.Run(t.Context(), l.Addr().String(), &mesh.Request{})
 		require.Nil(t, failure)
-		require.Empty(t, told)
+		require.Empty(t, received)
 		c.Keep(nil)
 		require.NoError(t, l.Close())
 		<-ended
@@ -279,13 +279,13 @@
 	}
 }
 
-// A node has missed news of the store and asks one that told of them, over the
-// connection over which it hears of it. An empty answer arrives too, as it says that
-// the store is to be asked; without a connection there is nobody to ask.
-func TestNewsAreAskedForOverAnOpenConnection(t *testing.T) {
+// A node that has missed state updates queries a node that reported them, over the
+// connection over which it receives reports. An empty answer is passed on too, as it means
+// that the store has to be queried. Without a connection the query fails.
+func TestStateQueryNeedsOpenConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := NewServer(node{}, mesh.Place{})
+	s := NewServer(fakeHandler{}, mesh.Place{})
 	s.OnNews(func() bool { return false }, News{Give: func(q Question) []byte {
 		if q.After == 7 {
 			return []byte("since seven")
@@ -297,9 +297,9 @@
 		defer close(ended)
 		_ = s.Serve(l)
 	}()
-	addr, told := l.Addr().String(), make(chan string, 1)
-	c := NewClient(mesh.Place{}, &heard{last: map[string]mesh.Load{}})
-	c.OnNews(News{Take: func(answer []byte) { told <- string(answer) }})
+	addr, received := l.Addr().String(), make(chan string, 1)
+	c := NewClient(mesh.Place{}, &loadRecorder{last: map[string]mesh.Load{}})
+	c.OnNews(News{Take: func(answer []byte) { received <- string(answer) }})
 	t.Cleanup(func() {
 		c.Keep(nil)
 		_ = l.Close()
@@ -309,9 +309,9 @@
 	require.ErrorIs(t, c.Ask(addr, Question{After: 7}), errNotConnected)
 	require.NoError(t, c.Warm(t.Context(), addr))
 	require.NoError(t, c.Ask(addr, Question{After: 7}))
-	require.Equal(t, "since seven", <-told)
+	require.Equal(t, "since seven", <-received)
 	require.NoError(t, c.Ask(addr, Question{After: 8}))
-	require.Empty(t, <-told)
+	require.Empty(t, <-received)
 }
 
 func FuzzDecode(f *testing.F) {
--- a/internal/mesh/peer/server.go
+++ b/internal/mesh/peer/server.go
@@ -17,43 +17,43 @@
 
 // Handler runs requests of other nodes. Safe for concurrent use.
 type Handler interface {
-	// Run runs or refuses a request. ctx ends when nobody waits for it any more.
+	// Run runs or refuses a request. ctx ends when the sender no longer waits for it.
 	Run(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error)
-	// Load gives the load to tell with the answer.
+	// Load returns the load that is reported with an answer.
 	Load() mesh.Load
 }
 
 // helloTimeout bounds the wait for a connection's first frame.
 const helloTimeout = 2 * time.Second
 
-// Server takes requests of other nodes. Safe for concurrent use.
+// Server accepts requests of other nodes. Safe for concurrent use.
 type Server struct {
 	handler Handler
 	here    mesh.Place
 	mu      sync.Mutex
 	conns   map[*serverConn]struct{}
-	// askedAt is when each VM last sent a request.
-	askedAt map[string]time.Time
-	lacking *lacking
-	news    *News
+	// lastRequest is when each VM last sent a request.
+	lastRequest map[string]time.Time
+	bootstrap   *bootstrapper
+	stateSync   *News
 }
 
-// OnNews sets what answers questions of other nodes and takes their answers. A
-// node that dials this one is asked for all it knows, in its turn, while lacks says
-// that nothing is known here. It must be called before Serve.
+// SetStateSync sets how state queries of other nodes are answered and how the states that
+// they send are applied. While needsState returns true, nodes that dial this one are queried
+// for their whole state, one at a time. It must be called before Serve.
 //
-// A node that starts while the store is away knows no other node, and would serve
-// nobody until the store is back. The others still know its address, and keep
-// dialling it.
-func (s *Server) OnNews(lacks func() bool, n News) {
-	s.lacking, s.news = newLacking(lacks), &n
+// A node that starts while the store is unavailable knows no other node, and could not serve
+// requests until the store is available again. The other nodes still have its address and
+// keep dialling it.
+func (s *Server) OnNews(needsState func() bool, state News) {
+	s.bootstrap, s.stateSync = newBootstrapper(needsState), &state
 }
 
-// NewServer returns a Server that hands requests to h.
+// NewServer returns a Server that passes requests to h.
 func NewServer(h Handler, here mesh.Place) *Server {
 	return &Server{
-		handler: h, here: here, conns: map[*serverConn]struct{}{}, askedAt: map[string]time.Time{},
-		lacking: newLacking(func() bool { return false }),
+		handler: h, here: here, conns: map[*serverConn]struct{}{}, lastRequest: map[string]time.Time{},
+		bootstrap: newBootstrapper(func() bool { return false }),
 	}
 }
 
@@ -63,47 +63,48 @@
 	return nil
 }
 
-// serverConn is a connection that another node opened.
+// serverConn is a connection that another node dialled.
 type serverConn struct {
 	server   *Server
 	writer   *writer
 	hello    Hello
-	question question
-	answers  delivery
+	query    pendingQuery
+	delivery delivery
 	mu       sync.Mutex
 	running  map[uint32]context.CancelFunc
-	// unconfirmed are requests that wait to be confirmed.
+	// unconfirmed holds the requests that wait for confirmation, by stream ID.
 	unconfirmed map[uint32]chan struct{}
-	// mute says that the node didn't confirm a request in time, and nothing came since.
-	mute atomic.Bool
+	// unresponsive is true if the entry did not confirm a request in time and no frame was
+	// received since.
+	unresponsive atomic.Bool
 }
 
 func (s *Server) serve(c net.Conn) {
 	conn := &serverConn{server: s, writer: newWriter(c), running: map[uint32]context.CancelFunc{}, unconfirmed: map[uint32]chan struct{}{}}
 	defer conn.writer.close()
-	reader := bufio.NewReader(hearing{c, conn.question.hear})
-	if err := conn.greet(c, reader); err != nil {
+	reader := bufio.NewReader(observedConn{c, conn.query.received})
+	if err := conn.readHello(c, reader); err != nil {
 		return
 	}
 	s.add(conn)
 	defer s.remove(conn)
-	var asking sync.WaitGroup
-	defer asking.Wait()
+	var queries sync.WaitGroup
+	defer queries.Wait()
 	ctx, cancel := context.WithCancel(context.Background())
-	// Nobody waits any more for what came over a connection that has ended.
+	// The entry no longer waits for requests of a connection that has ended.
 	defer cancel()
-	if s.lacking.wants() {
-		asking.Go(func() { s.lacking.ask(ctx, conn) })
+	if s.bootstrap.active() {
+		queries.Go(func() { s.bootstrap.query(ctx, conn) })
 	}
 	for {
 		t, stream, body, err := decode(reader)
-		if err != nil || !conn.take(ctx, t, stream, body) {
+		if err != nil || !conn.handleFrame(ctx, t, stream, body) {
 			return
 		}
 	}
 }
 
-func (c *serverConn) greet(raw net.Conn, reader *bufio.Reader) error {
+func (c *serverConn) readHello(raw net.Conn, reader *bufio.Reader) error {
 	if err := raw.SetReadDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return err
 	}
@@ -120,16 +121,16 @@
 	return raw.SetReadDeadline(time.Time{})
 }
 
-// take acts on one frame; false ends the connection.
-func (c *serverConn) take(ctx context.Context, t frameType, stream uint32, body []byte) bool {
-	c.mute.Store(false)
+// handleFrame handles one frame; false closes the connection.
+func (c *serverConn) handleFrame(ctx context.Context, t frameType, stream uint32, body []byte) bool {
+	c.unresponsive.Store(false)
 	switch t {
 	case frameRequest:
 		var r requestBody
 		if msgpack.Unmarshal(body, &r) != nil {
 			return false
 		}
-		c.start(ctx, stream, &r)
+		c.startRequest(ctx, stream, &r)
 	case frameCancel:
 		c.mu.Lock()
 		cancel := c.running[stream]
@@ -139,20 +140,20 @@
 		}
 	case frameProceed:
 		c.proceed(stream)
-	case frameAsk:
-		return c.server.news.give(c.writer, body)
+	case frameStateQuery:
+		return c.server.stateSync.answer(c.writer, body)
 	case frameState:
-		return c.question.take(c.server.news, body)
+		return c.query.handleState(c.server.stateSync, body)
 	case framePing:
-		return c.reply(framePong, stream, nil)
+		return c.sendFrame(framePong, stream, nil)
 	default:
 		return false
 	}
 	return true
 }
 
-func (c *serverConn) start(ctx context.Context, stream uint32, body *requestBody) {
-	c.server.asked(c.hello.VM)
+func (c *serverConn) startRequest(ctx context.Context, stream uint32, body *requestBody) {
+	c.server.noteRequest(c.hello.VM)
 	r := body.request()
 	if body.Confirm {
 		r.Confirm = func(ctx context.Context) error { return c.confirm(ctx, stream) }
@@ -171,25 +172,25 @@
 		answer, e := c.server.handler.Run(ctx, r)
 		load := c.server.handler.Load()
 		if e != nil {
-			c.reply(frameRefusal, stream, fromError(e, load))
+			c.sendFrame(frameRefusal, stream, fromError(e, load))
 			return
 		}
-		c.reply(frameAnswer, stream, &answerBody{
+		c.sendFrame(frameAnswer, stream, &answerBody{
 			Status: answer.Status, Header: answer.Header, Body: answer.Body, Load: fromLoad(load),
-			WorkMs: milliseconds(answer.Work),
+			BaseServiceMs: milliseconds(answer.Work),
 		})
 	}()
 }
 
-func (c *serverConn) reply(t frameType, stream uint32, body any) bool {
+func (c *serverConn) sendFrame(t frameType, stream uint32, body any) bool {
 	frame, err := encode(t, stream, body)
 	if err != nil {
 		return false
 	}
-	// A connection that can't be written to is closed, and its reader ends.
-	ahead, err := c.writer.enqueue(frame)
+	// If the frame can't be queued, the connection is closed and its reader ends.
+	offset, err := c.writer.enqueue(frame)
 	if t == frameAnswer || t == frameRefusal {
-		c.answers.queued(ahead+uint64(len(frame)), time.Now())
+		c.delivery.noteQueued(offset+uint64(len(frame)), time.Now())
 	}
 	return err == nil
 }
@@ -209,46 +210,46 @@
 			return
 		}
 	}
-	delete(s.askedAt, c.hello.VM)
+	delete(s.lastRequest, c.hello.VM)
 }
 
-func (s *Server) asked(vm string) {
+func (s *Server) noteRequest(vm string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.askedAt[vm] = time.Now()
+	s.lastRequest[vm] = time.Now()
 }
 
-// Reach says which nodes a load report goes to.
+// Scope selects the nodes to which a load report is sent.
 type Reach uint8
 
-// The reaches, each with those of the one before.
+// The scopes; each includes the nodes of the one before.
 const (
-	// Users are the nodes of the own region that sent a request lately.
+	// ScopeSenders are the nodes of the local region that sent a request within senderWindow.
 	Users Reach = iota
-	// Region are all nodes of the own region.
+	// ScopeRegion are all nodes of the local region.
 	Region
-	// Everybody are all nodes that are connected.
+	// ScopeAll are all connected nodes.
 	Everybody
 )
 
-// usedLately is how long after its last request a node counts as a user. At the rates
-// the system is designed for each node sends to each target of its region about once a
-// second; who sends less hears of the load with every answer and each second.
-const usedLately = time.Second
+// senderWindow is how long after its last request a node counts as a sender. At the rates
+// the system is designed for, each node sends each target of its region about one request a
+// second; a node that sends less receives the load with every answer and once a second.
+const senderWindow = time.Second
 
-// reaches says whether a report goes to the node at the other end.
-func (c *serverConn) reaches(reach Reach, now time.Time) bool {
+// inScope reports whether a report is sent to the node at the other end.
+func (c *serverConn) inScope(scope Reach, now time.Time) bool {
 	switch {
-	case reach == Everybody:
+	case scope == Everybody:
 		return true
 	case c.hello.Region != c.server.here.Region:
 		return false
 	}
-	return reach == Region || now.Sub(c.server.askedAt[c.hello.VM]) < usedLately
+	return scope == Region || now.Sub(c.server.lastRequest[c.hello.VM]) < senderWindow
 }
 
-// Tell sends a load report.
-func (s *Server) Tell(l mesh.Load, reach Reach) {
+// SendLoad sends a load report to the nodes in scope.
+func (s *Server) Tell(l mesh.Load, scope Reach) {
 	frame, err := encode(frameLoad, 0, fromLoad(l))
 	if err != nil {
 		return
@@ -256,21 +257,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	told := map[string]bool{}
+	sent := map[string]bool{}
 	for c := range s.conns {
-		if told[c.hello.VM] || !c.reaches(reach, now) {
+		if sent[c.hello.VM] || !c.inScope(scope, now) {
 			continue
 		}
-		told[c.hello.VM] = true
-		// One that can't be told has its connection closed, and dials again.
+		sent[c.hello.VM] = true
+		// If the report can't be sent, the connection is closed and the node dials again.
 		_ = c.writer.send(frame)
 	}
 }
 
-// Stop has the node ask others for nothing any more.
-func (s *Server) Stop() { s.lacking.stop() }
+// StopBootstrap prevents further queries for the state of other nodes.
+func (s *Server) Stop() { s.bootstrap.stop() }
 
-// Close ends all connections.
+// Close closes all connections.
 func (s *Server) Close() {
 	s.Stop()
 	s.mu.Lock()
--- a/internal/mesh/peer/size_test.go
+++ b/internal/mesh/peer/size_test.go
@@ -10,9 +10,9 @@
 	"github.com/limpetdock/limpetdock/internal/mesh"
 )
 
-// Bytes between zones and regions are paid for. A frame must stay small beside the
-// request and the answer that it carries.
-func TestFramesAddLittle(t *testing.T) {
+// Bytes between zones and regions are charged for. Guards against frames that are large
+// compared with the request and the answer that they carry.
+func TestFrameOverheadIsSmall(t *testing.T) {
 	load, err := encode(frameLoad, 0, fromLoad(mesh.Load{Running: 5, Slots: 6, Service: 90 * time.Millisecond, Slowdown: 4, CalmIn: 150 * time.Millisecond, Revision: 1200}))
 	require.NoError(t, err)
 	require.LessOrEqual(t, len(load), 40)
--- a/internal/mesh/peer/slow_test.go
+++ b/internal/mesh/peer/slow_test.go
@@ -14,17 +14,17 @@
 	"github.com/limpetdock/limpetdock/internal/mesh"
 )
 
-// slowNode starts a node that answers by run, and a Client whose connections to it
-// are slow; opened is told of the way there of each.
-func slowNode(t *testing.T, run func(ctx context.Context, r *mesh.Request) *mesh.Answer, opened func(there *wire)) (c *Client, s *Server, stop func()) {
-	s = NewServer(node{func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
+// startSlowNode starts a node that answers with run, and a Client whose connections to it
+// are slow; opened is called with the outbound direction of each.
+func startSlowNode(t *testing.T, run func(ctx context.Context, r *mesh.Request) *mesh.Answer, opened func(outbound *wire)) (c *Client, s *Server, stop func()) {
+	s = NewServer(fakeHandler{func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
 		return run(ctx, r), nil
 	}}, mesh.Place{})
-	c = NewClient(mesh.Place{}, &heard{last: map[string]mesh.Load{}})
+	c = NewClient(mesh.Place{}, &loadRecorder{last: map[string]mesh.Load{}})
 	var served sync.WaitGroup
 	c.dial = func(string) (net.Conn, error) {
-		near, far, there := slowLink(t)
-		opened(there)
+		near, far, outbound := slowLink(t)
+		opened(outbound)
 		served.Go(func() { s.serve(far) })
 		return near, nil
 	}
@@ -35,8 +35,8 @@
 	}
 }
 
-// finish ends a node once everything is delivered, within a minute.
-func finish(s *Server) {
+// drain stops a server once everything is delivered, within a minute.
+func drain(s *Server) {
 	s.Stop()
 	for ends := time.Now().Add(time.Minute); !s.Delivered() && time.Now().Before(ends); {
 		time.Sleep(20 * time.Millisecond)
@@ -44,11 +44,11 @@
 	s.Close()
 }
 
-// nothing answers without a body.
-func nothing(context.Context, *mesh.Request) *mesh.Answer { return &mesh.Answer{} }
+// emptyAnswer answers without a body.
+func emptyAnswer(context.Context, *mesh.Request) *mesh.Answer { return &mesh.Answer{} }
 
-// Guards against outcome-unknown for requests whose bytes take a slow link longer than a ping may.
-func TestASlowConnectionIsNotTakenForSilent(t *testing.T) {
+// Guards against outcome-unknown for requests that take a slow link longer than pongTimeout.
+func TestSlowConnectionIsNotClosed(t *testing.T) {
 	cases := map[string]struct {
 		requests     int
 		upload, body int
@@ -63,7 +63,7 @@
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c, _, stop := slowNode(t, func(ctx context.Context, r *mesh.Request) *mesh.Answer {
+				c, _, stop := startSlowNode(t, func(ctx context.Context, r *mesh.Request) *mesh.Answer {
 					wait(ctx, one.work)
 					return &mesh.Answer{Status: 200, Body: make([]byte, one.body+len(r.Body)-one.upload)}
 				}, func(*wire) {})
@@ -73,7 +73,7 @@
 					go func() {
 						a, failure := c.Run(t.Context(), "", &mesh.Request{Body: make([]byte, one.upload)})
 						if failure == nil && len(a.Body) != one.body {
-							failure = kind.New(kind.BackendBroken, "%d bytes came", len(a.Body))
+							failure = kind.New(kind.BackendBroken, "%d bytes received", len(a.Body))
 						}
 						failures <- failure
 					}()
@@ -86,14 +86,14 @@
 	}
 }
 
-// Guards against outcome-unknown for requests beside a large state on a slow link.
-func TestAnAnswerMayStandBehindALargeState(t *testing.T) {
+// Guards against outcome-unknown for requests that share a slow link with a large state.
+func TestAnswerMayBeQueuedBehindLargeState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := NewServer(node{func(context.Context, *mesh.Request) (*mesh.Answer, *kind.Error) {
+		s := NewServer(fakeHandler{func(context.Context, *mesh.Request) (*mesh.Answer, *kind.Error) {
 			return &mesh.Answer{Status: 200}, nil
 		}}, mesh.Place{})
 		s.OnNews(func() bool { return false }, News{Give: func(Question) []byte { return make([]byte, 4<<20) }})
-		c := NewClient(mesh.Place{}, &heard{last: map[string]mesh.Load{}})
+		c := NewClient(mesh.Place{}, &loadRecorder{last: map[string]mesh.Load{}})
 		taken := make(chan int, 1)
 		c.OnNews(News{Take: func(state []byte) { taken <- len(state) }})
 		near, far, _ := slowLink(t)
@@ -110,10 +110,10 @@
 	})
 }
 
-// Guards against a connection that gives nothing and is kept for the requests that it takes.
-func TestASilentConnectionIsGivenUpWhileRequestsAreSent(t *testing.T) {
+// Guards against an unresponsive connection that is kept because it accepts more requests.
+func TestUnresponsiveConnectionIsClosedWhileRequestsAreSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, _, stop := slowNode(t, nothing, func(there *wire) { there.lost.Store(true) })
+		c, _, stop := startSlowNode(t, emptyAnswer, func(outbound *wire) { outbound.lost.Store(true) })
 		ctx, cancel := context.WithCancel(t.Context())
 		var sent sync.WaitGroup
 		defer func() {
@@ -132,33 +132,33 @@
 		defer end()
 		_, failure := c.Run(limited, "", &mesh.Request{})
 		require.Equal(t, kind.OutcomeUnknown, failure.Kind)
-		require.ErrorIs(t, failure.Cause, errSilent)
-		require.LessOrEqual(t, time.Since(began), pingAfter+pongWithin+lookEvery)
+		require.ErrorIs(t, failure.Cause, errConnLost)
+		require.LessOrEqual(t, time.Since(began), pingAfter+pongTimeout+checkInterval)
 	})
 }
 
-// Guards against an upload that waits for good on a link that stopped in the middle.
-func TestAnUploadThatStandsStillIsGivenUp(t *testing.T) {
+// Guards against an upload that waits forever on a link that stopped in the middle.
+func TestStalledUploadTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out *wire
-		c, _, stop := slowNode(t, nothing, func(there *wire) { out = there })
+		c, _, stop := startSlowNode(t, emptyAnswer, func(outbound *wire) { out = outbound })
 		defer stop()
 		time.AfterFunc(2*time.Second, func() { out.stuck.Store(true) })
 		began := time.Now()
 		_, failure := c.Run(t.Context(), "", &mesh.Request{Body: make([]byte, 8<<20)})
 		require.Equal(t, kind.OutcomeUnknown, failure.Kind)
-		require.ErrorIs(t, failure.Cause, errSilent)
-		require.LessOrEqual(t, time.Since(began), 2*time.Second+pingAfter+pongWithin)
+		require.ErrorIs(t, failure.Cause, errConnLost)
+		require.LessOrEqual(t, time.Since(began), 2*time.Second+pingAfter+pongTimeout)
 		require.Greater(t, time.Since(began), 2*time.Second)
 	})
 }
 
-// Guards against an answer that is dropped because its node stops while it is on its way.
-func TestAnAnswerOnItsWayArrivesThoughItsNodeStops(t *testing.T) {
+// Guards against an answer that is dropped because its node stops while it is in transit.
+func TestAnswerInTransitIsDeliveredWhenNodeStops(t *testing.T) {
 	const size = 4 << 20
 	synctest.Test(t, func(t *testing.T) {
 		ran := make(chan struct{})
-		c, s, stop := slowNode(t, func(context.Context, *mesh.Request) *mesh.Answer {
+		c, s, stop := startSlowNode(t, func(context.Context, *mesh.Request) *mesh.Answer {
 			defer close(ran)
 			return &mesh.Answer{Body: make([]byte, size)}
 		}, func(*wire) {})
@@ -167,7 +167,7 @@
 		defer stopped.Wait()
 		stopped.Go(func() {
 			<-ran
-			finish(s)
+			drain(s)
 		})
 		answer, failure := c.Run(t.Context(), "", &mesh.Request{})
 		require.Nil(t, failure)
@@ -175,12 +175,12 @@
 	})
 }
 
-// Guards against a node that doesn't stop because another one has gone silent.
-func TestAStoppingNodeWaitsOnlyForWhatMoves(t *testing.T) {
+// Guards against a node that doesn't stop because another one is unresponsive.
+func TestStoppingNodeDoesNotWaitForStalledConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
-		s := NewServer(node{func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
-			return nothing(ctx, r), nil
+		s := NewServer(fakeHandler{func(ctx context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
+			return emptyAnswer(ctx, r), nil
 		}}, mesh.Place{})
 		var served sync.WaitGroup
 		served.Go(func() { s.serve(far) })
@@ -196,7 +196,7 @@
 		synctest.Wait()
 		require.False(t, s.Delivered(), "the answer isn't read")
 		began := time.Now()
-		finish(s)
+		drain(s)
 		require.Less(t, time.Since(began), time.Second)
 		served.Wait()
 		require.NoError(t, near.Close())
--- a/internal/mesh/peer/slowlink_test.go
+++ b/internal/mesh/peer/slowlink_test.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// slowRate is a link of 10 Mbit/s, in bytes a second.
+	// slowRate is the rate of a link of 10 Mbit/s, in bytes per second.
 	slowRate = 10_000_000 / 8
-	// slowPiece is what such a link carries at a time, and slowBuffer how many of
-	// these the kernel takes before they are on their way.
-	slowPiece  = 4 << 10
+	// slowChunk is how many bytes such a link carries at a time, and slowBuffer how many
+	// chunks the kernel buffers before they are sent.
+	slowChunk  = 4 << 10
 	slowBuffer = 256
 )
 
-// wire is one direction of a link in memory.
+// wire is one direction of an in-memory link.
 type wire struct {
-	// ctx ends when the end that sends is closed.
+	// ctx ends when the sending end is closed.
 	ctx       context.Context
 	cancel    context.CancelFunc
 	delivered atomic.Uint64
-	// lost makes it take bytes and deliver none, and stuck take none once its
+	// lost makes it accept bytes and deliver none; stuck makes it accept none once its
 	// buffer is full.
 	lost, stuck atomic.Bool
 }
@@ -35,18 +35,18 @@
 	return w
 }
 
-// carry takes bytes from one end to the other until either is closed.
-func (w *wire) carry(from, to net.Conn) {
+// transfer moves bytes from one end to the other until either is closed.
+func (w *wire) transfer(from, to net.Conn) {
 	buffer := make(chan []byte, slowBuffer)
 	go w.deliver(buffer, to)
 	for w.ctx.Err() == nil {
-		piece := make([]byte, slowPiece)
-		n, err := from.Read(piece)
+		chunk := make([]byte, slowChunk)
+		n, err := from.Read(chunk)
 		if err != nil {
 			break
 		}
 		select {
-		case buffer <- piece[:n]:
+		case buffer <- chunk[:n]:
 		case <-w.ctx.Done():
 		}
 	}
@@ -54,7 +54,7 @@
 	_ = from.Close()
 }
 
-// deliver hands on the pieces that were taken, each in its time.
+// deliver writes the buffered chunks at slowRate.
 func (w *wire) deliver(buffer <-chan []byte, to net.Conn) {
 	defer func() {
 		w.cancel()
@@ -64,26 +64,26 @@
 		select {
 		case <-w.ctx.Done():
 			return
-		case piece := <-buffer:
-			wait(w.ctx, time.Duration(len(piece))*time.Second/slowRate)
+		case chunk := <-buffer:
+			wait(w.ctx, time.Duration(len(chunk))*time.Second/slowRate)
 			for w.stuck.Load() && w.ctx.Err() == nil {
 				wait(w.ctx, time.Millisecond)
 			}
 			if w.ctx.Err() != nil {
 				return
 			}
-			w.delivered.Add(uint64(len(piece)))
+			w.delivered.Add(uint64(len(chunk)))
 			if w.lost.Load() {
 				continue
 			}
-			if _, err := to.Write(piece); err != nil {
+			if _, err := to.Write(chunk); err != nil {
 				return
 			}
 		}
 	}
 }
 
-// wait sleeps unless ctx ends before.
+// wait sleeps for d or until ctx ends.
 func wait(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -91,31 +91,31 @@
 	}
 }
 
-// end is one end of a link.
-type end struct {
+// linkEnd is one end of a link.
+type linkEnd struct {
 	net.Conn
 	out *wire
 }
 
-func (e end) Acknowledged() uint64 { return e.out.delivered.Load() }
+func (e linkEnd) Acknowledged() uint64 { return e.out.delivered.Load() }
 
-func (e end) Close() error {
+func (e linkEnd) Close() error {
 	e.out.cancel()
 	return e.Conn.Close()
 }
 
-// slowLink joins two connections by a slow link, and gives the way there.
-func slowLink(t *testing.T) (near, far net.Conn, there *wire) {
-	here, nearEnd := net.Pipe()
-	farEnd, away := net.Pipe()
-	there, back := newWire(), newWire()
-	near, far = end{here, there}, end{away, back}
+// slowLink returns two connections joined by a slow link, and the direction from near to far.
+func slowLink(t *testing.T) (near, far net.Conn, outbound *wire) {
+	nearConn, nearEnd := net.Pipe()
+	farEnd, farConn := net.Pipe()
+	outbound, inbound := newWire(), newWire()
+	near, far = linkEnd{nearConn, outbound}, linkEnd{farConn, inbound}
 	var carried sync.WaitGroup
-	carried.Go(func() { there.carry(nearEnd, farEnd) })
-	carried.Go(func() { back.carry(farEnd, nearEnd) })
+	carried.Go(func() { outbound.transfer(nearEnd, farEnd) })
+	carried.Go(func() { inbound.transfer(farEnd, nearEnd) })
 	t.Cleanup(func() {
 		_, _ = near.Close(), far.Close()
 		carried.Wait()
 	})
-	return near, far, there
+	return near, far, outbound
 }
--- a/internal/mesh/peer/writer.go
+++ b/internal/mesh/peer/writer.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// maxQueued bounds the bytes that wait to be written to one peer. A peer that
-	// doesn't read is given up; it would otherwise fill this node's memory.
+	// maxQueued bounds the bytes that wait to be written to one peer. The connection to a
+	// peer that doesn't read is closed; its queue would otherwise fill this node's memory.
 	maxQueued = 24 << 20
-	// writeTimeout bounds how long a write may stand still. It does only if the peer
-	// is frozen or cut off.
+	// writeTimeout bounds how long a write may make no progress. It is exceeded only if the
+	// peer is frozen or unreachable.
 	writeTimeout = 3 * time.Second
 )
 
-var errFull = eris.New("the peer doesn't read what is sent to it")
+var errQueueFull = eris.New("send queue full: the peer does not read")
 
-// writer writes frames from a queue, so that nobody waits for the network.
-// Frames that wait together go out in one write.
+// writer writes frames from a queue, so that senders don't wait for the network.
+// Frames that are queued together are written with one call.
 type writer struct {
 	conn   net.Conn
 	mu     sync.Mutex
@@ -46,9 +46,9 @@
 	return err
 }
 
-// enqueue queues a frame and gives how many bytes were queued before it since the
-// connection was opened.
-func (w *writer) enqueue(frame []byte) (ahead uint64, err error) {
+// enqueue queues a frame and returns its offset: how many bytes were queued before it
+// since the connection was opened.
+func (w *writer) enqueue(frame []byte) (offset uint64, err error) {
 	w.mu.Lock()
 	if w.closed {
 		w.mu.Unlock()
@@ -57,10 +57,10 @@
 	if w.queued+len(frame) > maxQueued {
 		w.mu.Unlock()
 		w.close()
-		return 0, errFull
+		return 0, errQueueFull
 	}
 	defer w.mu.Unlock()
-	ahead = w.total
+	offset = w.total
 	w.queue = append(w.queue, frame)
 	w.queued += len(frame)
 	w.total += uint64(len(frame))
@@ -68,7 +68,7 @@
 	case w.wake <- struct{}{}:
 	default:
 	}
-	return ahead, nil
+	return offset, nil
 }
 
 func (w *writer) run() {
@@ -92,7 +92,7 @@
 	}
 }
 
-// close closes the connection; what is queued is dropped.
+// close closes the connection and drops the queued frames.
 func (w *writer) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -101,20 +101,20 @@
 	}
 	w.closed = true
 	w.queue = nil
-	// The reader of the connection tells everybody who waits.
+	// The reader of the connection fails the streams that wait.
 	_ = w.conn.Close()
 	close(w.wake)
 }
 
 const (
-	// keepIdle, keepEvery and keepCount find a peer that went dark within three
-	// seconds without a byte of the node's own (tcp(7)).
-	keepIdle  = time.Second
-	keepEvery = time.Second
-	keepCount = 2
-	// userTimeout is when the kernel gives up unacknowledged bytes: a request on its
-	// way into the dark is known to be lost then.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect an unreachable peer within
+	// three seconds while this node sends nothing (tcp(7)).
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	// userTimeout is when the kernel closes a connection with unacknowledged bytes: a
+	// request sent to an unreachable peer is known to be lost then.
 	userTimeout = 1500 * time.Millisecond
 )
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepIdle, Interval: keepEvery, Count: keepCount}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
--- a/internal/mesh/peer/writer_test.go
+++ b/internal/mesh/peer/writer_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against the end of a connection on which a long queue moves slowly.
-func TestAQueueThatKeepsMovingIsWrittenToItsEnd(t *testing.T) {
+// Guards against closing a connection whose long queue is written slowly.
+func TestSlowQueueIsWrittenCompletely(t *testing.T) {
 	const frames, size = 10, 1 << 20
 	synctest.Test(t, func(t *testing.T) {
 		near, far, _ := slowLink(t)
@@ -22,15 +22,15 @@
 		}
 		got := make([]byte, frames*size)
 		n, err := io.ReadFull(far, got)
-		require.NoError(t, err, "%d bytes came", n)
+		require.NoError(t, err, "%d bytes received", n)
 		require.Equal(t, byte(frames-1), got[len(got)-1])
 		w.close()
 		require.NoError(t, far.Close())
 	})
 }
 
-// Guards against memory that is held for a peer that has stopped reading.
-func TestAQueueThatStandsStillIsGivenUp(t *testing.T) {
+// Guards against memory that is held for a peer that no longer reads.
+func TestStalledQueueClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
 		w := newWriter(near)
