--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,7 +1,6 @@
-// Package decision writes one structured line for each decision on a request and
-// each change of what a node believes. It never makes a request wait: lines go
-// through a bounded queue, and those that don't fit or exceed the rate are
-// counted and dropped.
+// Package decision is a node's log: one structured line for each decision on a request and
+// each change of the node's state. It never delays a request: lines go through a bounded
+// queue, and lines that don't fit or exceed the rate limit are counted and dropped.
 package decision
 
 import (
@@ -15,16 +14,16 @@
 )
 
 const (
-	// queueLines is how many lines wait for a slow reader.
+	// queueLines is how many lines may wait for a slow reader.
 	queueLines = 1024
-	// linesPerSecond bounds decisions on requests: as many as the busiest node of 18
-	// wrote in the worst second of a day of rolling stops under a burst, when most
-	// requests were refused and offered again. More are in the metrics only.
+	// linesPerSecond limits lines about requests. It covers the peak of the busiest of 18
+	// nodes during rolling restarts under a burst, when most requests are refused and
+	// attempted again. Requests beyond it appear in the metrics only.
 	linesPerSecond = 300
-	// burstLines may come at once: two seconds' worth.
+	// burstLines is the largest burst: the lines of two seconds.
 	burstLines = 2 * linesPerSecond
-	// dropsEvery is the least pause between two lines about drops.
-	dropsEvery = 5 * time.Second
+	// dropReportInterval is the shortest pause between two lines about dropped lines.
+	dropReportInterval = 5 * time.Second
 )
 
 // Log is a bounded log. A nil Log drops everything. Safe for concurrent use.
@@ -54,7 +53,7 @@
 	return l
 }
 
-// Decide writes a decision that touches a request, as far as the rate allows.
+// InfoLimited logs a decision on a request at level INFO, subject to the rate limit.
 func (l *Log) Decide(message string, pairs ...any) {
 	if l == nil {
 		return
@@ -66,15 +65,15 @@
 	l.put(slog.LevelInfo, message, pairs)
 }
 
-// Change writes a change of what the node believes or does. Changes are few and
-// aren't limited by rate, only by the queue.
+// Info logs a change of the node's state at level INFO. Such changes are few and therefore
+// limited only by the queue.
 func (l *Log) Change(message string, pairs ...any) {
 	if l != nil {
 		l.put(slog.LevelInfo, message, pairs)
 	}
 }
 
-// Trouble writes a change for the worse.
+// Warn logs a failure or degradation at level WARN.
 func (l *Log) Trouble(message string, pairs ...any) {
 	if l != nil {
 		l.put(slog.LevelWarn, message, pairs)
@@ -92,11 +91,11 @@
 	}
 }
 
-// Counts gives how many lines were written and dropped.
+// Counts returns how many lines were written and dropped.
 func (l *Log) Counts() (written, dropped uint64) { return l.written.Load(), l.dropped.Load() }
 
 func (l *Log) run(ctx context.Context) {
-	told, toldAt := uint64(0), time.Time{}
+	reported, reportedAt := uint64(0), time.Time{}
 	for {
 		select {
 		case r := <-l.queue:
@@ -104,9 +103,9 @@
 		case <-ctx.Done():
 			return
 		}
-		if n := l.dropped.Load(); n != told && time.Since(toldAt) >= dropsEvery {
-			l.write(record{time.Now(), slog.LevelWarn, "log lines dropped", []any{"since_last", n - told, "total", n}})
-			told, toldAt = n, time.Now()
+		if n := l.dropped.Load(); n != reported && time.Since(reportedAt) >= dropReportInterval {
+			l.write(record{time.Now(), slog.LevelWarn, "log lines dropped", []any{"since_last", n - reported, "total", n}})
+			reported, reportedAt = n, time.Now()
 		}
 	}
 }
@@ -114,7 +113,7 @@
 func (l *Log) write(r record) {
 	line := slog.NewRecord(r.at, r.level, r.message, 0)
 	line.Add(r.pairs...)
-	// A log that can't be written has nowhere to say so; the counter shows it.
+	// A failed write can't be logged; the counter shows it.
 	if err := l.out.Handler().Handle(context.Background(), line); err != nil {
 		l.dropped.Add(1)
 		return
@@ -122,7 +121,7 @@
 	l.written.Add(1)
 }
 
-// Flush waits until what was queued is written, at most for a while.
+// Flush waits until the queue is empty, at most for the given time.
 func (l *Log) Flush(within time.Duration) {
 	for end := time.Now().Add(within); len(l.queue) > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -15,9 +15,9 @@
 	"github.com/limpetdock/limpetdock/internal/decision"
 )
 
-// Whoever reads the log has stopped reading, and the pipe is full. Requests must go
-// on as if nothing were; what can't be written is counted.
-func TestAReaderThatDoesNotReadHoldsUpNobody(t *testing.T) {
+// The reader of the log has stopped reading, and the pipe is full. Callers must not be
+// blocked, and lines that can't be written must be counted.
+func TestBlockedLogReaderDoesNotBlockCallers(t *testing.T) {
 	r, w := io.Pipe()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -28,7 +28,7 @@
 		defer close(done)
 		for i := range lines {
 			log.Decide("request ended", "id", i)
-			log.Change("belief", "id", i)
+			log.Change("state changed", "id", i)
 		}
 	}()
 	<-done
@@ -50,7 +50,7 @@
 	return b.Buffer.Write(p)
 }
 
-func TestALineIsOneJSONObjectWithItsPairs(t *testing.T) {
+func TestLineIsOneJSONObjectWithItsPairs(t *testing.T) {
 	var out syncBuffer
 	log := decision.New(t.Context(), &out, slog.LevelInfo)
 	log.Decide("request ended", "id", "a7", "kind", "overloaded")
@@ -64,7 +64,7 @@
 	require.Equal(t, "overloaded", line["kind"])
 }
 
-func TestWarningsOnlyLeavesDecisionsOut(t *testing.T) {
+func TestWarnLevelLeavesOutDecisions(t *testing.T) {
 	var out syncBuffer
 	log := decision.New(t.Context(), &out, slog.LevelWarn)
 	log.Decide("request ended")
@@ -76,7 +76,7 @@
 	require.NotContains(t, out.String(), "request ended")
 }
 
-func TestANilLogDropsEverything(t *testing.T) {
+func TestNilLogDropsEverything(t *testing.T) {
 	var log *decision.Log
 	log.Decide("x")
 	log.Change("x")
@@ -86,7 +86,7 @@
 func BenchmarkDecide(b *testing.B) {
 	log := decision.New(b.Context(), io.Discard, slog.LevelInfo)
 	for b.Loop() {
-		// A change isn't limited by rate; it is the same line.
+		// Info isn't limited by rate and writes the same line.
 		log.Change("request ended", "id", "9c41d07be2a35f68", "method", "GET", "host", "shop.example", "path", "/a", "took_ms", 90,
 			"config", 7, "revision", 20, "route", "r", "service", "orders", "budget_ms", 1000, "offers", "i-1 answered 90ms",
 			"outcome", "answered", "status", 200, "bytes", 5000)
