--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the settings file (INI) of a node in a
-// deployment whose targets register themselves.
+// Package settings reads and validates the settings file (INI) of a node in a deployment
+// whose targets register themselves.
 package settings
 
 import (
@@ -17,49 +17,49 @@
 	"github.com/limpetdock/limpetdock/internal/mesh/entry"
 )
 
-// Settings are the checked settings of one node.
+// Settings are the validated settings of one node.
 type Settings struct {
-	// Here is where the node stands, and what it stands beside.
+	// Here is the location of the node and the service of its backend server.
 	Here mesh.Place
-	// Regions finds the region of an availability zone.
+	// Regions maps availability zones to regions.
 	Regions map[string]string
-	// Callers, Peers, Ready and Admin are the addresses the node listens on, for
+	// Callers, Peers, Ready and Admin are the addresses on which the node listens for
 	// callers, other nodes, the platform's readiness check and operators.
 	Callers, Peers, Ready, Admin string
 	// Backend is the address of the backend server beside the node.
 	Backend string
 	// Store is the address of the platform's store.
 	Store string
-	// Repeats bounds how often requests may be run again, over all nodes.
+	// Repeats limits how often requests are run again, over all nodes.
 	Repeats entry.Repeats
-	// StopGrace is the time from the signal to stop until the process is killed.
+	// StopGrace is the time between the stop signal and the kill of the process.
 	StopGrace time.Duration
-	// Tunable are the settings that a running node takes over.
+	// Tunable are the settings that may change while a node runs.
 	Tunable Tunable
 }
 
-// PeersPort is the port at which every node takes requests of others.
+// PeersPort returns the port at which every node accepts requests of other nodes.
 func (s *Settings) PeersPort() string {
-	// Peers was checked when the settings were read.
+	// Peers was validated when the settings were read.
 	_, port, _ := net.SplitHostPort(s.Peers)
 	return port
 }
 
 // Tunable are the settings that may change while a node runs.
 type Tunable struct {
-	// Prices turn bytes that leave the zone into time.
+	// Prices are the routing penalties, as time, for bytes that leave the zone or region.
 	Prices entry.Prices
-	// Fill is the share of a backend server's slots that is filled; 0 is learnt.
+	// Fill is the share of a backend server's slots to use; 0 if the node learns it.
 	Fill float64
-	// LogLevel is 0 for information, 1 for warnings only.
+	// LogLevel is 0 for information and warnings, 1 for warnings only.
 	LogLevel int
 }
 
 const (
-	// leastFill is the least share of slots that is any use.
-	leastFill = 0.1
-	// learnt lets a node find out how many slots to fill.
-	learnt = "learnt"
+	// minFill is the smallest useful share of slots.
+	minFill = 0.1
+	// fillLearnt lets the node determine how many slots to use.
+	fillLearnt = "learnt"
 )
 
 var table = inifile.Table[Settings]{EmptyIsMissing: true, Free: []string{zonesSection}, Fields: []inifile.Field[Settings]{
@@ -75,20 +75,20 @@
 	inifile.Required("backend", "address", "IP:PORT", address(func(s *Settings) *string { return &s.Backend })),
 	inifile.Required("store", "address", "IP:PORT", address(func(s *Settings) *string { return &s.Store })),
 	inifile.Optional("repeats", "ratio", "0.2", "repeats for each request, from 0 to 1", number(0, 1, func(s *Settings, v float64) { s.Repeats.Ratio = v })),
-	inifile.Optional("repeats", "slack", "0", "repeats besides, of all nodes together, in a window", number(0, 1e6, func(s *Settings, v float64) { s.Repeats.Slack = v })),
+	inifile.Optional("repeats", "slack", "0", "additional repeats of all nodes together in a window, from 0 to 1e6", number(0, 1e6, func(s *Settings, v float64) { s.Repeats.Slack = v })),
 	inifile.Optional("repeats", "window-seconds", "10", "seconds, from 1 to 3600", number(1, 3600, func(s *Settings, v float64) { s.Repeats.Window = seconds(v) })),
 	inifile.Optional("stop", "grace-seconds", "6", "seconds, from 1 to 600", number(1, 600, func(s *Settings, v float64) { s.StopGrace = seconds(v) })),
 	inifile.Optional("routing", "zone-price", "10ms", "a duration for each kilobyte that leaves the zone", duration(func(s *Settings) *time.Duration { return &s.Tunable.Prices.ZonePerKB })),
 	inifile.Optional("routing", "region-price", "80ms", "a duration for each kilobyte that leaves the region", duration(func(s *Settings) *time.Duration { return &s.Tunable.Prices.RegionPerKB })),
-	inifile.Optional("backend", "fill", learnt, "learnt, or a share of the slots from 0.1 to 1", fill),
+	inifile.Optional("backend", "fill", fillLearnt, "learnt, or a share of the slots from 0.1 to 1", fill),
 	inifile.Optional("log", "level", "0", "0 or 1", level),
 }}
 
-// zonesSection maps availability zones to regions, a line each.
+// zonesSection maps availability zones to regions, one per line.
 const zonesSection = "zones"
 
-// Load reads and checks the settings file at path. A file with anything wrong gives
-// inifile.Faults that list all of it.
+// Load reads and validates the settings file at path. If the file has errors, it returns
+// inifile.Faults that list all of them.
 func Load(path string) (*Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return Parse(path, content)
 }
 
-// Parse checks the settings in content; file is used in messages only.
+// Parse validates the settings in content; file is used in messages only.
 func Parse(file string, content []byte) (*Settings, error) {
 	s := &Settings{Regions: map[string]string{}}
 	doc, err := table.Parse(file, content, s)
@@ -126,7 +126,7 @@
 
 func ip(s *Settings, v string) error {
 	if net.ParseIP(v) == nil {
-		return eris.Errorf("%q is no IP address", v)
+		return eris.Errorf("%q is not an IP address", v)
 	}
 	s.Here.IP = v
 	return nil
@@ -136,10 +136,10 @@
 	return func(s *Settings, v string) error {
 		host, port, err := net.SplitHostPort(v)
 		if err != nil || net.ParseIP(host) == nil {
-			return eris.Errorf("%q is no IP:PORT", v)
+			return eris.Errorf("%q is not an IP:PORT address", v)
 		}
 		if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
-			return eris.Errorf("%q has no port", v)
+			return eris.Errorf("%q has no port from 1 to 65535", v)
 		}
 		*at(s) = v
 		return nil
@@ -150,7 +150,7 @@
 	return func(s *Settings, v string) error {
 		d, err := time.ParseDuration(v)
 		if err != nil || d < 0 {
-			return eris.Errorf("%q is no duration of 0 or more", v)
+			return eris.Errorf("%q is not a duration of 0 or more", v)
 		}
 		*at(s) = d
 		return nil
@@ -159,11 +159,11 @@
 
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-func number(least, most float64, set func(*Settings, float64)) func(*Settings, string) error {
+func number(lowest, highest float64, set func(*Settings, float64)) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		n, err := strconv.ParseFloat(v, 64)
-		if err != nil || math.IsNaN(n) || n < least || n > most {
-			return eris.Errorf("%q is no number from %g to %g", v, least, most)
+		if err != nil || math.IsNaN(n) || n < lowest || n > highest {
+			return eris.Errorf("%q is not a number from %g to %g", v, lowest, highest)
 		}
 		set(s, n)
 		return nil
@@ -171,16 +171,16 @@
 }
 
 func fill(s *Settings, v string) error {
-	if v == learnt {
+	if v == fillLearnt {
 		s.Tunable.Fill = 0
 		return nil
 	}
-	return number(leastFill, 1, func(s *Settings, v float64) { s.Tunable.Fill = v })(s, v)
+	return number(minFill, 1, func(s *Settings, v float64) { s.Tunable.Fill = v })(s, v)
 }
 
 func level(s *Settings, v string) error {
 	if v != "0" && v != "1" {
-		return eris.Errorf("%q is no level", v)
+		return eris.Errorf("%q is not a log level", v)
 	}
 	s.Tunable.LogLevel = int(v[0] - '0')
 	return nil
--- a/internal/mesh/settings/settings_test.go
+++ b/internal/mesh/settings/settings_test.go
@@ -33,7 +33,7 @@
 address = 10.200.1.7:8309
 `
 
-func TestDefaultsHoldWhereAKeyIsMissingOrEmpty(t *testing.T) {
+func TestDefaultsApplyToMissingOrEmptyKeys(t *testing.T) {
 	for _, text := range []string{good, good + "[repeats]\nratio =\nslack =\nwindow-seconds =\n[stop]\ngrace-seconds =\n"} {
 		s, err := settings.Parse("node.ini", []byte(text))
 		require.NoError(t, err)
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestFractionsOfSecondsAreRead(t *testing.T) {
+func TestFractionalSecondsAreParsed(t *testing.T) {
 	s, err := settings.Parse("node.ini", []byte(good+"[stop]\ngrace-seconds = 4.5\n[repeats]\nratio = 0.1\nslack = 56\n"))
 	require.NoError(t, err)
 	require.Equal(t, 4500*time.Millisecond, s.StopGrace)
@@ -54,26 +54,26 @@
 	require.InDelta(t, 56, s.Repeats.Slack, 0)
 }
 
-func TestEveryFaultIsNamedAtOnce(t *testing.T) {
+func TestAllFaultsAreReportedTogether(t *testing.T) {
 	text := strings.NewReplacer("10.1.0.8:8304", "nowhere", "vm = vm-1", "wm = vm-1", "[store]\naddress = 10.200.1.7:8309", "").Replace(good)
 	_, err := settings.Parse("node.ini", []byte(text+"[backend]\nfill = 2\n[stop]\ngrace-seconds = NaN\n"))
 	require.Error(t, err)
 	for _, part := range []string{
-		`node.ini:11: listen.callers: "nowhere" is no IP:PORT (allowed: IP:PORT)`, "node.vm: missing", "node.ini:2: node.wm: unknown key (allowed: vm, ip, zone, region, service)",
+		`node.ini:11: listen.callers: "nowhere" is not an IP:PORT address (allowed: IP:PORT)`, "node.vm: missing", "node.ini:2: node.wm: unknown key (allowed: vm, ip, zone, region, service)",
 		"store.address: missing", "backend.fill", "stop.grace-seconds",
 	} {
 		require.ErrorContains(t, err, part)
 	}
 }
 
-// An operator adds a key that the template has already filled in. The library would take
-// the last one and say nothing.
-func TestAKeyThatStandsTwiceIsRefused(t *testing.T) {
+// An operator adds a key that the template already sets. The INI library would silently use
+// the last value.
+func TestDuplicateKeyIsRejected(t *testing.T) {
 	_, err := settings.Parse("node.ini", []byte(good+"[backend]\naddress = 10.1.0.8:8399\n"))
 	require.ErrorContains(t, err, "backend.address: stands there twice")
 }
 
-func TestWhatIsNoINIOrHasNoZones(t *testing.T) {
+func TestInvalidINIAndMissingZonesAreRejected(t *testing.T) {
 	_, err := settings.Parse("node.ini", []byte("{\"json\": 1"))
 	require.Error(t, err)
 	_, err = settings.Parse("node.ini", []byte(strings.Replace(good, "rs-a = rs\nsc-a = sc\n", "", 1)))
