--- a/internal/mesh/directory/directory.go
+++ b/internal/mesh/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory keeps what a node believes about the deployment: the
-// configuration in force and the targets that registered themselves. A State is
-// pure: time is an argument, and it belongs to one goroutine.
+// Package directory maintains a node's view of the deployment: the configuration in force
+// and the registered targets. A State reads no clock: the time is an argument. It belongs to
+// one goroutine.
 package directory
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/limpetdock/limpetdock/internal/place"
 )
 
-// Registration is what a target says of itself in the store.
+// Registration is a target's entry in the store.
 type Registration struct {
 	ID            string
 	Started       time.Time
@@ -21,14 +21,14 @@
 	Zone          string
 	Slots         int
 	State         mesh.TargetState
-	// ColdFor is how much longer the target is slow after its start.
+	// ColdFor is the remaining time for which the target is slow after its start.
 	ColdFor time.Duration
-	// Revision is the store's at which this was written.
+	// Revision is the store revision at which the registration was written.
 	Revision uint64
 }
 
-// Peer gives the address at which the node beside the target takes requests of other nodes,
-// at the port that all nodes use for that, and how far it stands from a place.
+// Peer returns the address at which the node beside the target accepts requests of other
+// nodes, using the port common to all nodes, and its distance from here.
 func (r Registration) Peer(here mesh.Place, regions map[string]string, port string) (string, place.Distance, error) {
 	host, _, err := net.SplitHostPort(r.Addr)
 	if err != nil {
@@ -37,18 +37,18 @@
 	return net.JoinHostPort(host, port), here.DistanceTo(host, r.Zone, regions[r.Zone]), nil
 }
 
-// row is a registered target.
-type row struct {
+// targetRecord is a registered target.
+type targetRecord struct {
 	Registration
 	stat   *mesh.Stat
 	warmAt time.Duration
-	// endedAt is the store's revision at which the registration ended; 0 is never.
+	// endedAt is the store revision at which the registration ended; 0 if it has not.
 	endedAt uint64
-	// dropAt is when a target that is missing is dropped; 0 is never.
+	// dropAt is when a target whose registration has ended is dropped; 0 if it is not due.
 	dropAt time.Duration
 }
 
-// State is what a node believes. It belongs to one goroutine.
+// State is a node's view of the deployment. It belongs to one goroutine.
 type State struct {
 	here     mesh.Place
 	own      string
@@ -56,30 +56,31 @@
 	peerPort string
 	config   *mesh.Config
 	weights  map[string]*mesh.Weights
-	rows     map[string]*row
-	// ended are rows of targets that were in use until their registration ended.
-	ended map[string]endedRow
-	// known says that the list of targets has been read whole once.
-	known    bool
-	revision uint64
-	// lost says that the store doesn't answer; regainedAt is when it last did again.
-	lost       bool
-	regainedAt time.Duration
-	dirty      bool
+	records  map[string]*targetRecord
+	// ended are the records of targets that were in use until their registration ended.
+	ended map[string]endedRecord
+	// hasTargets is true once the list of targets has been read completely.
+	hasTargets bool
+	revision   uint64
+	// unavailable is true while the store doesn't answer; recoveredAt is when it last
+	// became available again.
+	unavailable bool
+	recoveredAt time.Duration
+	dirty       bool
 }
 
-// New returns an empty State. own is the address of the backend server beside
-// the node, regions finds the region of an availability zone, and peerPort is the
-// port at which every node takes requests of others.
+// New returns an empty State. own is the address of the backend server beside the node,
+// regions maps availability zones to regions, and peerPort is the port at which every node
+// accepts requests of other nodes.
 func New(here mesh.Place, own string, regions map[string]string, peerPort string) *State {
 	return &State{
 		here: here, own: own, regions: regions, peerPort: peerPort,
-		weights: map[string]*mesh.Weights{}, rows: map[string]*row{}, ended: map[string]endedRow{}, regainedAt: -lapseGrace,
+		weights: map[string]*mesh.Weights{}, records: map[string]*targetRecord{}, ended: map[string]endedRecord{}, recoveredAt: -expiryGrace,
 	}
 }
 
-// Configure puts a configuration in force if it is newer than the one that is,
-// and says whether it was.
+// Configure puts a configuration in force if it is newer than the current one, and reports
+// whether it was.
 func (s *State) Configure(c *mesh.Config, revision uint64) bool {
 	s.revision = max(s.revision, revision)
 	if s.config != nil && c.Version <= s.config.Version {
@@ -97,85 +98,86 @@
 	return true
 }
 
-// Replace takes the whole list of targets as of a revision.
+// Replace replaces the list of targets with the one read at a revision. Registrations
+// written after that revision are kept.
 func (s *State) Replace(now time.Duration, revision uint64, list []Registration) {
 	listed := make(map[string]bool, len(list))
 	for _, r := range list {
 		listed[r.ID] = true
 		s.Put(now, r)
 	}
-	for id, one := range s.rows {
-		if !listed[id] && one.Revision <= revision {
+	for id, rec := range s.records {
+		if !listed[id] && rec.Revision <= revision {
 			s.Remove(now, revision, id)
 		}
 	}
-	s.known, s.dirty = true, true
+	s.hasTargets, s.dirty = true, true
 	s.revision = max(s.revision, revision)
 }
 
-// Put takes one registration; an older one than is known changes nothing.
+// Put adds or updates one registration. It ignores one that is older than the current one.
 func (s *State) Put(now time.Duration, r Registration) {
 	s.revision = max(s.revision, r.Revision)
-	old := s.rows[r.ID]
+	old := s.records[r.ID]
 	if old != nil && r.Revision < old.Revision {
 		return
 	}
-	one := &row{Registration: r, warmAt: now + r.ColdFor}
+	rec := &targetRecord{Registration: r, warmAt: now + r.ColdFor}
 	if old != nil && old.Started.Equal(r.Started) {
-		one.stat = old.stat
+		rec.stat = old.stat
 	} else {
-		one.stat = &mesh.Stat{}
+		rec.stat = &mesh.Stat{}
 	}
-	s.rows[r.ID] = one
+	s.records[r.ID] = rec
 	delete(s.ended, r.ID)
 	s.dirty = true
 }
 
-// Tick drops what is due, and gives a new View if anything has changed and
-// enough is known for one; else nil.
+// Tick drops targets that are due. It returns a new View if anything has changed and both a
+// configuration and the targets are known, or else nil.
 func (s *State) Tick(now time.Duration) *mesh.View {
-	for id, one := range s.rows {
-		if one.dropAt != 0 && now >= one.dropAt && !s.lost {
+	for id, rec := range s.records {
+		if rec.dropAt != 0 && now >= rec.dropAt && !s.unavailable {
 			s.drop(now, id)
 		}
 	}
-	for id, one := range s.ended {
-		if now-one.at > reviveWithin {
+	for id, rec := range s.ended {
+		if now-rec.at > restoreWindow {
 			delete(s.ended, id)
 		}
 	}
-	if !s.dirty || s.config == nil || !s.known {
+	if !s.dirty || s.config == nil || !s.hasTargets {
 		return nil
 	}
 	s.dirty = false
 	return s.view()
 }
 
-// Due gives when the next Tick has something to drop, or 0.
-func (s *State) Due() time.Duration {
+// NextDrop returns the time of the next drop in Tick, or 0 if there is none.
+func (s *State) NextDrop() time.Duration {
 	due := time.Duration(0)
-	for _, one := range s.rows {
-		if one.dropAt != 0 && (due == 0 || one.dropAt < due) {
-			due = one.dropAt
+	for _, rec := range s.records {
+		if rec.dropAt != 0 && (due == 0 || rec.dropAt < due) {
+			due = rec.dropAt
 		}
 	}
 	return due
 }
 
-// Ready says whether a configuration and a list of targets are in force.
-func (s *State) Ready() bool { return s.config != nil && s.known }
+// Ready reports whether a configuration and a list of targets are in force.
+func (s *State) Ready() bool { return s.config != nil && s.hasTargets }
 
 func (s *State) view() *mesh.View {
 	v := &mesh.View{
 		Config: s.config, Revision: s.revision,
 		Targets: map[string][]*mesh.Target{}, Peers: map[string]mesh.Peer{},
 	}
-	for _, one := range s.current() {
-		t := s.target(one)
+	for _, rec := range s.current() {
+		t := s.target(rec)
 		if t == nil {
 			continue
 		}
-		if one.Addr == s.own {
+		if rec.Addr == s.own {
 			v.Own = t
 		} else {
 			v.Peers[t.Peer] = mesh.Peer{Zone: t.Zone, Distance: t.Distance}
@@ -192,27 +194,27 @@
 	return v
 }
 
-// current gives one row for each address: where an address was given to another
-// target, the one that started last has it.
-func (s *State) current() map[string]*row {
-	byAddr := make(map[string]*row, len(s.rows))
-	for _, one := range s.rows {
-		other := byAddr[one.Addr]
-		if other == nil || one.Started.After(other.Started) {
-			byAddr[one.Addr] = one
+// current returns one record for each address. If an address has been reused, it is the
+// record of the target that started last.
+func (s *State) current() map[string]*targetRecord {
+	byAddr := make(map[string]*targetRecord, len(s.records))
+	for _, rec := range s.records {
+		other := byAddr[rec.Addr]
+		if other == nil || rec.Started.After(other.Started) {
+			byAddr[rec.Addr] = rec
 		}
 	}
 	return byAddr
 }
 
-func (s *State) target(one *row) *mesh.Target {
-	peer, distance, err := one.Peer(s.here, s.regions, s.peerPort)
+func (s *State) target(rec *targetRecord) *mesh.Target {
+	peer, distance, err := rec.Peer(s.here, s.regions, s.peerPort)
 	if err != nil {
 		return nil
 	}
 	return &mesh.Target{
-		ID: one.ID, Service: one.Service, Addr: one.Addr,
-		Peer: peer, Zone: one.Zone, Slots: one.Slots,
-		State: one.State, WarmAt: one.warmAt, Stat: one.stat, Distance: distance,
+		ID: rec.ID, Service: rec.Service, Addr: rec.Addr,
+		Peer: peer, Zone: rec.Zone, Slots: rec.Slots,
+		State: rec.State, WarmAt: rec.warmAt, Stat: rec.stat, Distance: distance,
 	}
 }
--- a/internal/mesh/directory/lapse.go
+++ b/internal/mesh/directory/lapse.go
@@ -7,126 +7,127 @@
 	"github.com/limpetdock/limpetdock/internal/mesh"
 )
 
-// lapseGrace is how long a target stays in use that was found missing when the
-// store came back: registrations that ran out during the outage are renewed by
-// their targets within two seconds of its end, and to drop them at once would
-// empty whole services while all their targets run.
-const lapseGrace = 2 * time.Second
+// expiryGrace is how long a target stays in use whose registration is missing when the
+// store recovers. Targets renew registrations that expired during an outage within two
+// seconds of its end, and dropping them at once would empty whole services whose targets
+// all run.
+const expiryGrace = 2 * time.Second
 
-// reviveWithin is how long a registration that ended is remembered. Those of targets
-// that were cut off from the store together run out within one and a half heartbeats.
-const reviveWithin = 4 * time.Second
+// restoreWindow is how long an ended registration is remembered. The registrations of
+// targets that are cut off from the store together expire within one and a half heartbeats.
+const restoreWindow = 4 * time.Second
 
-// endedRow is a row and when it was dropped.
-type endedRow struct {
-	*row
+// endedRecord is a dropped record and the time of the drop.
+type endedRecord struct {
+	*targetRecord
 	at time.Duration
 }
 
-// Remove takes the end of a registration. While the store is away, and for a
-// moment after, it may have run out only because it couldn't be renewed.
+// Remove handles the end of a registration. During an outage of the store and for a grace
+// period after it, the registration may have expired only because it couldn't be renewed.
 func (s *State) Remove(now time.Duration, revision uint64, id string) {
 	s.revision = max(s.revision, revision)
-	one := s.rows[id]
-	if one == nil || one.Revision > revision {
+	rec := s.records[id]
+	if rec == nil || rec.Revision > revision {
 		return
 	}
 	s.dirty = true
-	one.endedAt = revision
-	if one.State == mesh.Ready && s.lapsing(now) {
-		if one.dropAt == 0 {
-			one.dropAt = s.overdueAt(now)
+	rec.endedAt = revision
+	if rec.State == mesh.Ready && s.inGracePeriod(now) {
+		if rec.dropAt == 0 {
+			rec.dropAt = s.graceEnd(now)
 		}
-		if s.lost && one.Addr == s.own {
-			s.revive(now)
+		if s.unavailable && rec.Addr == s.own {
+			s.restoreEnded(now)
 		}
 		return
 	}
 	s.drop(now, id)
 }
 
-// drop takes a target out of use.
+// drop removes a target from use.
 func (s *State) drop(now time.Duration, id string) {
-	if one := s.rows[id]; one.State == mesh.Ready {
-		one.dropAt = 0
-		s.ended[id] = endedRow{one, now}
+	if rec := s.records[id]; rec.State == mesh.Ready {
+		rec.dropAt = 0
+		s.ended[id] = endedRecord{rec, now}
 	}
-	delete(s.rows, id)
+	delete(s.records, id)
 	s.dirty = true
 }
 
-// overdueAt is when a registration that ended now would be back if it had only run out.
-// While the store is away nobody knows; Regained sets it anew.
-func (s *State) overdueAt(now time.Duration) time.Duration {
-	if s.lost {
-		return now + lapseGrace
+// graceEnd returns when a registration that ends now would have been renewed if it had only
+// expired. During an outage this is provisional; MarkAvailable sets it again.
+func (s *State) graceEnd(now time.Duration) time.Duration {
+	if s.unavailable {
+		return now + expiryGrace
 	}
-	return s.regainedAt + lapseGrace
+	return s.recoveredAt + expiryGrace
 }
 
-func (s *State) lapsing(now time.Duration) bool {
-	return s.lost || now < s.regainedAt+lapseGrace
+func (s *State) inGracePeriod(now time.Duration) bool {
+	return s.unavailable || now < s.recoveredAt+expiryGrace
 }
 
-// Lost notes that the store doesn't answer; it returns false if that was known.
+// MarkUnavailable records that the store doesn't answer. It returns false if that was known.
 //
-// A node that takes its news from others may learn that the registration of its own
-// backend server ended before it learns that both are cut off from the store, which is
-// why it ended, or at about the same time. Its callers would then find one target less, and the other nodes that
-// were cut off as well, though all of them run. So what ended together with the own
-// registration is used again until the store answers.
-func (s *State) Lost(now time.Duration) bool {
-	was := s.lost
-	s.lost = true
-	if !was && s.OwnEnded() {
-		s.revive(now)
+// A node that follows others may learn that the registration of its own backend server ended
+// before it learns the cause, which is that both are cut off from the store. Its callers
+// would then lose that target and those of the other nodes that are cut off, although all of
+// them run. Therefore the targets whose registrations ended together with its own are
+// restored until the store answers.
+func (s *State) MarkUnavailable(now time.Duration) bool {
+	wasUnavailable := s.unavailable
+	s.unavailable = true
+	if !wasUnavailable && s.OwnRegistrationEnded() {
+		s.restoreEnded(now)
 	}
-	return !was
+	return !wasUnavailable
 }
 
-func (s *State) revive(now time.Duration) {
-	for id, one := range s.ended {
+func (s *State) restoreEnded(now time.Duration) {
+	for id, rec := range s.ended {
 		delete(s.ended, id)
-		if now-one.at > reviveWithin {
+		if now-rec.at > restoreWindow {
 			continue
 		}
-		one.dropAt = now + lapseGrace
-		s.rows[id] = one.row
+		rec.dropAt = now + expiryGrace
+		s.records[id] = rec.targetRecord
 		s.dirty = true
 	}
 }
 
-// Answered notes that the store has answered this node as of a revision. What ended until
-// then didn't end because the node is cut off from the store, and stays ended.
-func (s *State) Answered(revision uint64) {
-	maps.DeleteFunc(s.ended, func(_ string, one endedRow) bool { return one.endedAt <= revision })
+// ConfirmEnds records that the store has answered this node at a revision. Registrations that
+// ended up to then did not end because the node is cut off, and are not restored.
+func (s *State) ConfirmEnds(revision uint64) {
+	maps.DeleteFunc(s.ended, func(_ string, rec endedRecord) bool { return rec.endedAt <= revision })
 }
 
-// OwnEnded says whether the registration of the own backend server ended lately.
-func (s *State) OwnEnded() bool {
-	for _, one := range s.ended {
-		if one.Addr == s.own {
+// OwnRegistrationEnded reports whether the registration of the local backend server ended
+// within the restore window and the store has not confirmed it.
+func (s *State) OwnRegistrationEnded() bool {
+	for _, rec := range s.ended {
+		if rec.Addr == s.own {
 			return true
 		}
 	}
 	return false
 }
 
-// Regained notes that the store answers; it returns false if it did before.
-func (s *State) Regained(now time.Duration) bool {
-	was := s.lost
-	if was {
-		s.lost, s.regainedAt = false, now
-		for _, one := range s.rows {
-			if one.dropAt != 0 {
-				one.dropAt = now + lapseGrace
+// MarkAvailable records that the store answers. It returns false if that was known.
+func (s *State) MarkAvailable(now time.Duration) bool {
+	wasUnavailable := s.unavailable
+	if wasUnavailable {
+		s.unavailable, s.recoveredAt = false, now
+		for _, rec := range s.records {
+			if rec.dropAt != 0 {
+				rec.dropAt = now + expiryGrace
 			}
 		}
 	}
-	return was
+	return wasUnavailable
 }
 
-// OutageEnded takes another node's word that the store came back some time ago. A
-// node that takes its news from others may not have noticed the outage, and would
-// drop at once what had run out meanwhile.
-func (s *State) OutageEnded(at time.Duration) { s.regainedAt = max(s.regainedAt, at) }
+// RecordOutageEnd records when an outage of the store ended, as reported by another node. A
+// node that follows others may not have noticed the outage, and would drop registrations
+// that expired during it at once.
+func (s *State) RecordOutageEnd(at time.Duration) { s.recoveredAt = max(s.recoveredAt, at) }
--- a/internal/mesh/directory/loop.go
+++ b/internal/mesh/directory/loop.go
@@ -8,20 +8,20 @@
 	"github.com/limpetdock/limpetdock/internal/mesh"
 )
 
-// Event is news of the store.
+// Event is a change of the store or of its availability.
 type Event interface {
 	apply(l *Loop, now time.Duration)
 }
 
-// The events.
+// The kinds of events.
 type (
-	// ConfigRead is a configuration that was read, decoded and checked, and the
+	// ConfigRead is a configuration that has been read, decoded and checked, and the
 	// revision at which it was written.
 	ConfigRead struct {
 		Config   *mesh.Config
 		Revision uint64
 	}
-	// TargetsRead is the whole list of targets as of a revision.
+	// TargetsRead is the complete list of targets at a revision.
 	TargetsRead struct {
 		Revision uint64
 		Targets  []Registration
@@ -33,14 +33,14 @@
 		Revision uint64
 		ID       string
 	}
-	// StoreLost says that the store doesn't answer, and why.
+	// StoreUnavailable is sent when the store doesn't answer.
 	StoreLost struct{ Err error }
-	// StoreRegained says that it answers again.
+	// StoreRecovered is sent when the store answers again.
 	StoreRegained struct{}
-	// StoreAnswered says that the store has answered this node as of a revision. It
-	// comes after what the answer told.
+	// StoreAnswered is sent when the store has answered this node at a revision. It
+	// follows the events of the answer.
 	StoreAnswered struct{ Revision uint64 }
-	// OutageEnded says how long ago the store came back, by another node's word.
+	// OutageEnded is how long ago the store recovered, as reported by another node.
 	OutageEnded struct{ Ago time.Duration }
 )
 
@@ -49,7 +49,7 @@
 		l.log.Change("configuration in force", "version", e.Config.Version, "routes", len(e.Config.Routes()))
 		return
 	}
-	l.log.Change("configuration not newer than the one in force", "version", e.Config.Version)
+	l.log.Change("configuration ignored: not newer than the one in force", "version", e.Config.Version)
 }
 
 func (e TargetsRead) apply(l *Loop, now time.Duration) {
@@ -64,52 +64,52 @@
 }
 
 func (e TargetRemoved) apply(l *Loop, now time.Duration) {
-	held := l.state.lapsing(now)
+	inGrace := l.state.inGracePeriod(now)
 	l.state.Remove(now, e.Revision, e.ID)
-	l.log.Change("target's registration ended", "target", e.ID, "revision", e.Revision, "store_was_away", held)
+	l.log.Change("target's registration ended", "target", e.ID, "revision", e.Revision, "store_was_away", inGrace)
 }
 
 func (e StoreLost) apply(l *Loop, now time.Duration) {
-	if l.state.Lost(now) {
+	if l.state.MarkUnavailable(now) {
 		l.log.Trouble("store lost", "error", e.Err.Error())
 	}
 }
 
 func (e StoreRegained) apply(l *Loop, now time.Duration) {
-	if l.state.Regained(now) {
+	if l.state.MarkAvailable(now) {
 		l.log.Change("store regained")
 	}
 }
 
-func (e StoreAnswered) apply(l *Loop, _ time.Duration) { l.state.Answered(e.Revision) }
+func (e StoreAnswered) apply(l *Loop, _ time.Duration) { l.state.ConfirmEnds(e.Revision) }
 
-func (e OutageEnded) apply(l *Loop, now time.Duration) { l.state.OutageEnded(now - e.Ago) }
+func (e OutageEnded) apply(l *Loop, now time.Duration) { l.state.RecordOutageEnd(now - e.Ago) }
 
-// maxEvents is how many events wait for the control goroutine. The reader of the
-// store waits when they are more.
+// maxEvents is how many batches of events may wait for the control goroutine. Beyond that,
+// the reader of the store blocks.
 const maxEvents = 64
 
-// Loop is the control goroutine: it alone touches the State.
+// Loop is the control goroutine, the only one that accesses the State.
 type Loop struct {
 	state   *State
 	log     *decision.Log
 	now     func() time.Duration
 	publish func(*mesh.View)
 	events  chan []Event
-	// ownEnded is called when the own backend server's registration has ended.
-	ownEnded func()
+	// onOwnEnded is called when the registration of the local backend server has ended.
+	onOwnEnded func()
 }
 
-// NewLoop returns a Loop that hands new Views to publish.
+// NewLoop returns a Loop that passes new Views to publish.
 func NewLoop(s *State, log *decision.Log, now func() time.Duration, publish func(*mesh.View)) *Loop {
-	return &Loop{state: s, log: log, now: now, publish: publish, events: make(chan []Event, maxEvents), ownEnded: func() {}}
+	return &Loop{state: s, log: log, now: now, publish: publish, events: make(chan []Event, maxEvents), onOwnEnded: func() {}}
 }
 
-// OnOwnEnded sets what is called when the registration of the own backend server has
-// ended. It must be called before Run.
-func (l *Loop) OnOwnEnded(f func()) { l.ownEnded = f }
+// OnOwnRegistrationEnded sets the function to call when the registration of the local backend
+// server has ended. It must be called before Run.
+func (l *Loop) OnOwnEnded(f func()) { l.onOwnEnded = f }
 
-// Take hands events over that belong together: one View is made of them all.
+// Take queues a batch of events that result in a single View.
 func (l *Loop) Take(ctx context.Context, events ...Event) {
 	select {
 	case l.events <- events:
@@ -120,7 +120,7 @@
 // Run applies events until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
 	for {
-		timer, stop := l.wake()
+		timer, stop := l.dropTimer()
 		select {
 		case events := <-l.events:
 			l.apply(events)
@@ -137,27 +137,28 @@
 }
 
 func (l *Loop) apply(events []Event) {
-	had := l.state.OwnEnded()
+	endedBefore := l.state.OwnRegistrationEnded()
 	for _, e := range events {
 		e.apply(l, l.now())
 	}
-	if !had && l.state.OwnEnded() {
-		l.ownEnded()
+	if !endedBefore && l.state.OwnRegistrationEnded() {
+		l.onOwnEnded()
 	}
 }
 
-// retryDrop is the pause before a look at targets that are due while the store is away.
-const retryDrop = 500 * time.Millisecond
+// dropRetryPause is the pause between checks for targets that are due during an outage.
+const dropRetryPause = 500 * time.Millisecond
 
-// wake gives a channel that tells when the State has something to drop.
-func (l *Loop) wake() (<-chan time.Time, func()) {
-	due := l.state.Due()
+// dropTimer returns a channel that fires when the State has targets to drop, and a function
+// that stops its timer.
+func (l *Loop) dropTimer() (<-chan time.Time, func()) {
+	due := l.state.NextDrop()
 	if due == 0 {
 		return nil, func() {}
 	}
 	wait := due - l.now()
 	if wait <= 0 {
-		wait = retryDrop
+		wait = dropRetryPause
 	}
 	t := time.NewTimer(wait)
 	return t.C, func() { t.Stop() }
