--- a/internal/mesh/reader/behind.go
+++ b/internal/mesh/reader/behind.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// behind measures how long a node has been behind what others told it. Safe for
-// concurrent use.
-type behind struct {
+// lagTracker measures how long a node has been lagging behind the store revisions that
+// other nodes report. Safe for concurrent use.
+type lagTracker struct {
 	mu sync.Mutex
-	// due is the revision that is missing, and since is when another node first told of it.
-	due   uint64
-	since time.Duration
+	// missing is the revision that the node lacks, and since is when another node first
+	// reported it.
+	missing uint64
+	since   time.Duration
 }
 
-// heard takes another node's revision, which is newer than the own one.
-func (b *behind) heard(revision, known uint64, now time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.due <= known {
-		b.due, b.since = revision, now
+// reported records a revision reported by another node. It must be newer than known, the
+// node's own revision.
+func (t *lagTracker) reported(revision, known uint64, now time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.missing <= known {
+		t.missing, t.since = revision, now
 	}
 }
 
-// lasting gives for how long the revision that is due has been missing.
-func (b *behind) lasting(known uint64, now time.Duration) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.due <= known {
+// duration returns how long a reported revision has been missing, or 0 if none is missing.
+func (t *lagTracker) duration(known uint64, now time.Duration) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.missing <= known {
 		return 0
 	}
-	return now - b.since
+	return now - t.since
 }
--- a/internal/mesh/reader/behind_test.go
+++ b/internal/mesh/reader/behind_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBehindCountsFromTheFirstWordOfWhatIsMissing(t *testing.T) {
-	b := &behind{}
-	require.Zero(t, b.lasting(7, time.Second))
-	b.heard(8, 7, 2*time.Second)
-	b.heard(9, 7, 4*time.Second)
-	require.Equal(t, 3*time.Second, b.lasting(7, 5*time.Second))
-	require.Zero(t, b.lasting(8, 5*time.Second), "what was due has come")
-	b.heard(9, 8, 6*time.Second)
-	require.Equal(t, time.Second, b.lasting(8, 7*time.Second))
-	require.Zero(t, b.lasting(9, 7*time.Second))
+func TestLagCountsFromFirstReportOfMissingRevision(t *testing.T) {
+	lag := &lagTracker{}
+	require.Zero(t, lag.duration(7, time.Second))
+	lag.reported(8, 7, 2*time.Second)
+	lag.reported(9, 7, 4*time.Second)
+	require.Equal(t, 3*time.Second, lag.duration(7, 5*time.Second))
+	require.Zero(t, lag.duration(8, 5*time.Second), "the missing revision has arrived")
+	lag.reported(9, 8, 6*time.Second)
+	require.Equal(t, time.Second, lag.duration(8, 7*time.Second))
+	require.Zero(t, lag.duration(9, 7*time.Second))
 }
--- a/internal/mesh/reader/bootstrap.go
+++ b/internal/mesh/reader/bootstrap.go
@@ -14,63 +14,64 @@
 )
 
 const (
-	// bootstrapReaders is how many nodes of a zone that starts as a whole read the store
-	// without waiting for each other: one of them may be down.
+	// bootstrapReaders is how many nodes of a zone read the store without waiting for each
+	// other when the whole zone starts at once. There are two because one may be down.
 	bootstrapReaders = 2
-	// bootstrapAsks is how many nodes a node that starts asks in a row.
-	bootstrapAsks = 4
-	// bootstrapWithin is how long a node that starts looks for another one that knows
-	// something: a few times what a whole read of the store takes. Callers are refused
-	// meanwhile.
-	bootstrapWithin = 300 * time.Millisecond
-	// bootstrapPause is the pause between two rounds of questions.
-	bootstrapPause = 40 * time.Millisecond
-	// connectWithin bounds opening a connection to a node that is to be asked: a few round
-	// trips between regions.
-	connectWithin = 100 * time.Millisecond
-	// tellWithin bounds the wait for all that a node knows: large configurations take a
-	// while on the links of VMs.
-	tellWithin = 400 * time.Millisecond
+	// maxBootstrapCandidates is how many nodes a starting node asks in turn.
+	maxBootstrapCandidates = 4
+	// bootstrapTimeout bounds how long a starting node looks for another node that has
+	// state: a few times the duration of a whole read of the store. Callers are refused
+	// in the meantime.
+	bootstrapTimeout = 300 * time.Millisecond
+	// bootstrapRetryPause is the mean pause between two passes over the candidates.
+	bootstrapRetryPause = 40 * time.Millisecond
+	// connectTimeout bounds opening a connection to a candidate: a few round trips
+	// between regions.
+	connectTimeout = 100 * time.Millisecond
+	// snapshotTimeout bounds the wait for a whole snapshot: large configurations take some
+	// time on the links of VMs.
+	snapshotTimeout = 400 * time.Millisecond
 )
 
-// Bootstrap asks other nodes for all they know of the store, until one tells it or none is
-// going to. peers are nodes that there may be, the own one among them or not.
+// Bootstrap asks other nodes for a whole snapshot of the store, until one sends it or the
+// search is given up. peers are the nodes that may exist, with or without this one.
 //
-// Where others run, the first one tells. Where a zone or the whole fleet starts at once, all
-// ask the same few nodes first, and those read the store without waiting.
+// If other nodes run, the first one asked sends it. If a zone or the whole fleet starts at
+// once, all nodes ask the same few nodes first, and those read the store without waiting.
 func (f *Follower) Bootstrap(ctx context.Context, peers map[string]mesh.Peer) {
-	order, reads := f.table.bootstrapOrder(peers)
-	until := f.table.now() + bootstrapWithin
-	for next := 0; len(order) > 0 && f.table.now() < until && ctx.Err() == nil; next++ {
-		if f.askWhole(ctx, order[next%len(order)]) {
+	candidates, isReader := f.table.bootstrapCandidates(peers)
+	deadline := f.table.now() + bootstrapTimeout
+	for attempt := 0; len(candidates) > 0 && f.table.now() < deadline && ctx.Err() == nil; attempt++ {
+		if f.requestSnapshot(ctx, candidates[attempt%len(candidates)]) {
 			return
 		}
-		if next%len(order) < len(order)-1 {
+		if attempt%len(candidates) < len(candidates)-1 {
 			continue
 		}
-		if reads {
+		if isReader {
 			return
 		}
-		clock.Sleep(ctx, bootstrapPause/2+rand.N(bootstrapPause))
+		clock.Sleep(ctx, bootstrapRetryPause/2+rand.N(bootstrapRetryPause))
 	}
 }
 
-// askWhole asks a node for all it knows, and says whether it told anything.
-func (f *Follower) askWhole(ctx context.Context, addr string) bool {
-	connecting, cancel := context.WithTimeout(ctx, connectWithin)
+// requestSnapshot asks a node for a whole snapshot and reports whether the store's state is
+// known afterwards.
+func (f *Follower) requestSnapshot(ctx context.Context, addr string) bool {
+	connectCtx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	if err := f.asker.Warm(connecting, addr); err != nil {
+	if err := f.asker.Warm(connectCtx, addr); err != nil {
 		return false
 	}
-	f.dropAnswered()
+	f.clearAnswered()
 	if err := f.asker.Ask(addr, peer.Question{Whole: true}); err != nil {
 		return false
 	}
-	waiting, stop := context.WithTimeout(ctx, tellWithin)
+	waitCtx, stop := context.WithTimeout(ctx, snapshotTimeout)
 	defer stop()
 	select {
 	case <-f.answered:
-	case <-waiting.Done():
+	case <-waitCtx.Done():
 	}
 	if f.store.Revision() == 0 {
 		return false
@@ -79,26 +80,26 @@
 	return true
 }
 
-// bootstrapOrder gives the nodes to ask at the start, first the ones that all nodes of the
-// zone ask first, and whether this node is one of those.
-func (t *Table) bootstrapOrder(peers map[string]mesh.Peer) (order []string, reads bool) {
-	near := slices.SortedFunc(maps.Keys(peers), rank)
-	near = slices.DeleteFunc(near, func(addr string) bool { return peers[addr].Zone != t.zone })
-	reads = slices.Contains(near[:min(len(near), bootstrapReaders)], t.own)
-	others := slices.DeleteFunc(near, func(addr string) bool { return addr == t.own })
+// bootstrapCandidates returns the nodes to ask at the start, beginning with those that all
+// nodes of the zone ask first, and whether this node is one of the latter.
+func (t *Table) bootstrapCandidates(peers map[string]mesh.Peer) (candidates []string, isReader bool) {
+	inZone := slices.SortedFunc(maps.Keys(peers), rank)
+	inZone = slices.DeleteFunc(inZone, func(addr string) bool { return peers[addr].Zone != t.zone })
+	isReader = slices.Contains(inZone[:min(len(inZone), bootstrapReaders)], t.own)
+	others := slices.DeleteFunc(inZone, func(addr string) bool { return addr == t.own })
 	if len(others) == 0 {
-		others = t.nearest(peers)
+		others = t.byDistance(peers)
 	}
-	// Nodes of a zone spread over those that they ask first.
+	// Spread the queries of a zone's nodes over the readers.
 	first := others[:min(len(others), bootstrapReaders)]
-	if !reads && hash(t.own)>>32%bootstrapReaders != 0 {
+	if !isReader && hash(t.own)>>32%bootstrapReaders != 0 {
 		slices.Reverse(first)
 	}
-	return others[:min(len(others), bootstrapAsks)], reads
+	return others[:min(len(others), maxBootstrapCandidates)], isReader
 }
 
-// nearest gives all nodes but this one by their distance.
-func (t *Table) nearest(peers map[string]mesh.Peer) []string {
+// byDistance returns all nodes but this one, nearest first.
+func (t *Table) byDistance(peers map[string]mesh.Peer) []string {
 	list := slices.SortedFunc(maps.Keys(peers), func(a, b string) int {
 		return cmp.Or(cmp.Compare(peers[a].Distance, peers[b].Distance), rank(a, b))
 	})
--- a/internal/mesh/reader/follower.go
+++ b/internal/mesh/reader/follower.go
@@ -12,151 +12,152 @@
 )
 
 const (
-	// newsDelay is the wait before a node of another zone is asked for its news:
-	// those of the own zone, or the own watch, mostly have them by then, and bytes
-	// between zones are paid for.
-	newsDelay = 150 * time.Millisecond
-	// answerWithin is how long an answer may take before the news are looked for
+	// peerAskDelay is the wait before a node of another zone is asked for an update, and
+	// before a reader acts on any report. Usually a node of the local zone or the node's own watch
+	// delivers the update in that time, and traffic between zones is billed.
+	peerAskDelay = 150 * time.Millisecond
+	// answerTimeout bounds the wait for an answer before the update is requested
 	// elsewhere: many round trips between regions.
-	answerWithin = 250 * time.Millisecond
+	answerTimeout = 250 * time.Millisecond
 )
 
-// AnyRevision is newer than any of the store's.
+// AnyRevision is newer than every revision of the store.
 const AnyRevision = math.MaxUint64
 
-// Store is a node's own reading of the platform's store. Safe for concurrent use.
+// Store is a node's copy of the platform's store. Safe for concurrent use.
 type Store interface {
-	// Revision is up to which everything is known; 0 is nothing yet.
+	// Revision returns the revision up to which the copy is complete; 0 if it is empty.
 	Revision() uint64
-	// Reading says that the node reads the store, and that it answers.
+	// Reading reports whether the node reads the store itself and the store answers.
 	Reading() bool
-	// Refresh asks the store at once, unless everything up to a revision is known.
+	// Refresh reads the store at once, unless the given revision is already known.
 	Refresh(revision uint64)
-	// Snapshot gives what is known after a revision for Restore at another node;
-	// empty if that is more than the bytes given. 0 of these is no bound.
+	// Snapshot returns what changed after a revision, encoded for Restore on another
+	// node. It is empty if it would exceed most bytes; 0 means no limit.
 	Snapshot(after uint64, most int) []byte
-	// Restore takes what another node knows.
+	// Restore applies a snapshot of another node.
 	Restore(ctx context.Context, snapshot []byte) error
 }
 
-// Asker asks other nodes for news.
+// Asker requests state updates from other nodes.
 type Asker interface {
-	// Warm opens the connection to a node, if none is open.
+	// Warm opens a connection to a node if none is open.
 	Warm(ctx context.Context, addr string) error
-	// Ask asks a node to which a connection is open.
+	// Ask sends a query to a node to which a connection is open.
 	Ask(addr string, q peer.Question) error
 }
 
-// Follower gets a node the news of the store that others have.
+// Follower keeps a node's copy of the store up to date with what other nodes report.
 type Follower struct {
-	table *Table
-	store Store
-	asker Asker
-	log   *decision.Log
-	news  chan news
-	// answered is told after each answer.
+	table   *Table
+	store   Store
+	asker   Asker
+	log     *decision.Log
+	updates chan update
+	// answered is signalled after each answer.
 	answered chan struct{}
-	behind   behind
+	lag      lagTracker
 }
 
-// news is a node's word that it has seen a revision.
-type news struct {
+// update is another node's report that it has a revision.
+type update struct {
 	addr     string
 	revision uint64
 }
 
-// NewFollower returns a Follower; it does nothing before Run.
+// NewFollower returns a Follower. It does nothing before Run.
 func NewFollower(t *Table, s Store, a Asker, log *decision.Log) *Follower {
-	return &Follower{table: t, store: s, asker: a, log: log, news: make(chan news, 1), answered: make(chan struct{}, 1)}
+	return &Follower{table: t, store: s, asker: a, log: log, updates: make(chan update, 1), answered: make(chan struct{}, 1)}
 }
 
-// Heard takes what a node says of the store. It never blocks: while one piece of
-// news is looked after, others are left out, and the next report brings them again.
+// HandleReport handles the store revision and reading state in a load report. It never
+// blocks: while one update is being fetched, further ones are dropped, and the next report
+// announces them again.
 func (f *Follower) Heard(addr string, l mesh.Load) {
-	f.table.Heard(addr, l.Reading)
+	f.table.RecordReport(addr, l.Reading)
 	known := f.store.Revision()
 	if known == 0 || l.Revision <= known {
 		return
 	}
-	f.behind.heard(l.Revision, known, f.table.now())
+	f.lag.reported(l.Revision, known, f.table.now())
 	select {
-	case f.news <- news{addr, l.Revision}:
+	case f.updates <- update{addr, l.Revision}:
 	default:
 	}
 }
 
-// Behind gives how long the node has known of a newer revision than its own; 0 if it
-// knows of none.
-func (f *Follower) Behind() time.Duration {
-	return f.behind.lasting(f.store.Revision(), f.table.now())
+// Lag returns how long the node has known of a revision newer than its own; 0 if there is
+// none.
+func (f *Follower) Lag() time.Duration {
+	return f.lag.duration(f.store.Revision(), f.table.now())
 }
 
-// Run looks after news until ctx ends.
+// Run fetches reported updates until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for {
 		select {
-		case n := <-f.news:
-			f.catchUp(ctx, n)
+		case u := <-f.updates:
+			f.catchUp(ctx, u)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// catchUp gets news from the node that told of them, or from the store. A node that
-// reads mostly has them from its watch; if not, its watch has been forgotten, and it
-// asks the store first, as the other may not be all there is to find out.
-func (f *Follower) catchUp(ctx context.Context, n news) {
+// catchUp gets an update from the node that reported it, or from the store. A reader usually
+// receives the update from its watch. If it doesn't, the store has lost the watch, and the
+// reader asks the store first, because the other node may not have everything it missed.
+func (f *Follower) catchUp(ctx context.Context, u update) {
 	reading := f.store.Reading()
-	if reading || !f.table.sameZone(n.addr) {
-		clock.Sleep(ctx, newsDelay)
+	if reading || !f.table.sameZone(u.addr) {
+		clock.Sleep(ctx, peerAskDelay)
 	}
-	ways := []func(news){f.ask, f.refresh}
+	steps := []func(update){f.askPeer, f.refreshFromStore}
 	if reading {
-		ways = []func(news){f.refresh, f.ask}
+		steps = []func(update){f.refreshFromStore, f.askPeer}
 	}
-	for _, way := range ways {
-		if f.store.Revision() >= n.revision || ctx.Err() != nil {
+	for _, step := range steps {
+		if f.store.Revision() >= u.revision || ctx.Err() != nil {
 			return
 		}
-		way(n)
-		f.await(ctx, n.revision)
+		step(u)
+		f.awaitRevision(ctx, u.revision)
 	}
 }
 
-func (f *Follower) ask(n news) {
-	f.dropAnswered()
+func (f *Follower) askPeer(u update) {
+	f.clearAnswered()
 	q := peer.Question{After: f.store.Revision()}
-	if err := f.asker.Ask(n.addr, q); err != nil {
-		f.log.Change("another node's news can't be asked for", "node", n.addr, "error", err.Error())
+	if err := f.asker.Ask(u.addr, q); err != nil {
+		f.log.Change("cannot ask another node for its update", "node", u.addr, "error", err.Error())
 	}
 }
 
-// dropAnswered forgets an answer that came too late for the question before.
-func (f *Follower) dropAnswered() {
+// clearAnswered discards the signal of a late answer to an earlier query.
+func (f *Follower) clearAnswered() {
 	select {
 	case <-f.answered:
 	default:
 	}
 }
 
-func (f *Follower) refresh(n news) {
-	f.log.Change("another node has newer news, asking the store", "node", n.addr, "revision", n.revision, "known", f.store.Revision())
-	f.store.Refresh(n.revision)
+func (f *Follower) refreshFromStore(u update) {
+	f.log.Change("another node has newer news, asking the store", "node", u.addr, "revision", u.revision, "known", f.store.Revision())
+	f.store.Refresh(u.revision)
 }
 
-// recheck is the pause between looks whether the news have come.
-const recheck = 25 * time.Millisecond
+// revisionPollInterval is the pause between checks whether the revision has arrived.
+const revisionPollInterval = 25 * time.Millisecond
 
-// await waits until a revision is known, an answer without it has come, or time is up.
-func (f *Follower) await(ctx context.Context, revision uint64) {
-	ctx, cancel := context.WithTimeout(ctx, answerWithin)
+// awaitRevision waits until a revision is known, an answer arrives or answerTimeout elapses.
+func (f *Follower) awaitRevision(ctx context.Context, revision uint64) {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	look := time.NewTicker(recheck)
-	defer look.Stop()
+	poll := time.NewTicker(revisionPollInterval)
+	defer poll.Stop()
 	for f.store.Revision() < revision {
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-f.answered:
 			return
 		case <-ctx.Done():
@@ -165,25 +166,26 @@
 	}
 }
 
-// maxNews bounds what a node tells of the store to one that follows, in bytes. More, as
-// after a configuration that has little in common with the one before, it reads from the
-// store: a reader has a whole zone to tell, and the links of VMs are slow.
-const maxNews = 64 << 10
+// maxUpdateBytes bounds the answer to one follower, in bytes. A follower reads larger updates
+// from the store, such as a configuration that shares little with the previous one: a reader
+// serves its whole zone, and the links of VMs are slow.
+const maxUpdateBytes = 64 << 10
 
-// News gives what answers other nodes' questions and takes their answers.
+// UpdateHandler returns the handler that answers state queries of other nodes and applies
+// their answers.
 func (f *Follower) News(ctx context.Context) peer.News {
 	return peer.News{
 		Give: func(q peer.Question) []byte {
 			if q.Whole {
 				return f.store.Snapshot(0, 0)
 			}
-			return f.store.Snapshot(q.After, maxNews)
+			return f.store.Snapshot(q.After, maxUpdateBytes)
 		},
-		Take: func(answer []byte) { f.take(ctx, answer) },
+		Take: func(answer []byte) { f.handleAnswer(ctx, answer) },
 	}
 }
 
-func (f *Follower) take(ctx context.Context, answer []byte) {
+func (f *Follower) handleAnswer(ctx context.Context, answer []byte) {
 	if len(answer) > 0 {
 		if err := f.store.Restore(ctx, answer); err != nil {
 			f.log.Trouble("another node's news can't be used", "error", err.Error())
--- a/internal/mesh/reader/follower_test.go
+++ b/internal/mesh/reader/follower_test.go
@@ -14,65 +14,65 @@
 	"github.com/limpetdock/limpetdock/internal/mesh/peer"
 )
 
-// fakeStore is a node's reading of a store at some revision. Refresh reads it, unless it
-// is away.
+// fakeStore is a node's copy of a store that has revision stored. Refresh copies it, unless
+// the store is unavailable.
 type fakeStore struct {
-	mu       sync.Mutex
-	known    uint64
-	stored   uint64
-	reading  bool
-	away     bool
-	asked    int
-	restored []string
+	mu          sync.Mutex
+	known       uint64
+	stored      uint64
+	reading     bool
+	unavailable bool
+	refreshed   int
+	restored    []string
 }
 
-func (s *fakeStore) with(f func()) {
+func (s *fakeStore) locked(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
 func (s *fakeStore) Revision() (r uint64) {
-	s.with(func() { r = s.known })
+	s.locked(func() { r = s.known })
 	return r
 }
 
 func (s *fakeStore) Reading() (r bool) {
-	s.with(func() { r = s.reading })
+	s.locked(func() { r = s.reading })
 	return r
 }
 
 func (s *fakeStore) Refresh(uint64) {
-	s.with(func() {
-		s.asked++
-		if !s.away {
+	s.locked(func() {
+		s.refreshed++
+		if !s.unavailable {
 			s.known = s.stored
 		}
 	})
 }
 
-// refreshes counts how often the store was asked.
+// refreshes returns how often Refresh was called.
 func (s *fakeStore) refreshes() (n int) {
-	s.with(func() { n = s.asked })
+	s.locked(func() { n = s.refreshed })
 	return n
 }
 
 func (s *fakeStore) Snapshot(uint64, int) []byte { return nil }
 
 func (s *fakeStore) Restore(_ context.Context, snapshot []byte) error {
-	s.with(func() {
+	s.locked(func() {
 		s.restored = append(s.restored, string(snapshot))
 		s.known = s.stored
 	})
 	return nil
 }
 
-// fakeAsker answers questions, or doesn't.
+// fakeAsker records queries and answers them if answer is set.
 type fakeAsker struct {
 	mu     sync.Mutex
 	asked  []string
 	answer func(addr string)
-	// down are nodes that no connection can be opened to.
+	// down are the nodes to which no connection can be opened.
 	down map[string]bool
 }
 
@@ -93,13 +93,13 @@
 	return nil
 }
 
-func (a *fakeAsker) answers(f func(addr string)) {
+func (a *fakeAsker) onAsk(f func(addr string)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.answer = f
 }
 
-func (a *fakeAsker) questions() []string {
+func (a *fakeAsker) queries() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.asked
@@ -112,7 +112,7 @@
 	return NewFollower(t, s, a, nil)
 }
 
-func play(t *testing.T, s *fakeStore, a *fakeAsker, f func(f *Follower)) {
+func runFollower(t *testing.T, s *fakeStore, a *fakeAsker, f func(f *Follower)) {
 	synctest.Test(t, func(t *testing.T) {
 		follower := newFollower(s, a)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -123,48 +123,48 @@
 	})
 }
 
-const nearby, elsewhere = "10.1.0.1:8300", "10.2.0.1:8300"
+const sameZoneNode, otherZoneNode = "10.1.0.1:8300", "10.2.0.1:8300"
 
-func TestNewsAreFetchedFromTheNodeThatTellsOfThem(t *testing.T) {
+func TestUpdateIsFetchedFromTheNodeThatReportedIt(t *testing.T) {
 	s, a := &fakeStore{known: 4, stored: 7}, &fakeAsker{}
-	play(t, s, a, func(f *Follower) {
-		a.answers(func(string) { f.News(t.Context()).Take([]byte("seven")) })
-		f.Heard(nearby, mesh.Load{Revision: 4})
-		f.Heard(nearby, mesh.Load{Revision: 7})
+	runFollower(t, s, a, func(f *Follower) {
+		a.onAsk(func(string) { f.News(t.Context()).Take([]byte("seven")) })
+		f.Heard(sameZoneNode, mesh.Load{Revision: 4})
+		f.Heard(sameZoneNode, mesh.Load{Revision: 7})
 		time.Sleep(50 * time.Millisecond)
-		s.with(func() { require.Equal(t, []string{"seven"}, s.restored) })
+		s.locked(func() { require.Equal(t, []string{"seven"}, s.restored) })
 		require.Zero(t, s.refreshes())
 	})
 }
 
-// Two readers tell of the same news, one in the own zone. It is the one that is asked,
-// as bytes between zones are paid for.
-func TestTheOwnZonesReaderIsAskedFirst(t *testing.T) {
+// Two readers report the same update, one of them in the local zone. That one must be
+// preferred, because traffic between zones is billed.
+func TestReaderInLocalZoneIsPreferred(t *testing.T) {
 	s, a := &fakeStore{known: 4, stored: 7}, &fakeAsker{}
-	play(t, s, a, func(f *Follower) {
-		f.Heard(elsewhere, mesh.Load{Revision: 7})
+	runFollower(t, s, a, func(f *Follower) {
+		f.Heard(otherZoneNode, mesh.Load{Revision: 7})
 		time.Sleep(50 * time.Millisecond)
-		require.Empty(t, a.questions())
-		s.with(func() { s.known = 7 })
+		require.Empty(t, a.queries())
+		s.locked(func() { s.known = 7 })
 		time.Sleep(time.Second)
-		require.Empty(t, a.questions())
+		require.Empty(t, a.queries())
 		require.Zero(t, s.refreshes())
 	})
 }
 
-// The node that told of news freezes before it answers, or they are more than it
-// tells. The store is asked instead, well within the two seconds in which a change is
-// to be in force.
-func TestWithoutAnAnswerTheStoreIsAsked(t *testing.T) {
+// Guards against missing the two seconds within which a change must be in force, because the
+// node that reported an update freezes before it answers or the update is too large for an
+// answer.
+func TestStoreIsReadIfPeerSendsNoUpdate(t *testing.T) {
 	for name, answer := range map[string]func(*Follower) func(string){
 		"frozen":   func(*Follower) func(string) { return nil },
 		"too much": func(f *Follower) func(string) { return func(string) { f.News(t.Context()).Take(nil) } },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, a := &fakeStore{known: 4, stored: 7}, &fakeAsker{}
-			play(t, s, a, func(f *Follower) {
-				a.answers(answer(f))
-				f.Heard(nearby, mesh.Load{Revision: 7})
+			runFollower(t, s, a, func(f *Follower) {
+				a.onAsk(answer(f))
+				f.Heard(sameZoneNode, mesh.Load{Revision: 7})
 				time.Sleep(500 * time.Millisecond)
 				require.Equal(t, 1, s.refreshes())
 				require.EqualValues(t, 7, s.Revision())
@@ -173,32 +173,31 @@
 	}
 }
 
-// A reader's watch has been forgotten by the store: another zone's reader has seen
-// more. It asks the store anew, and when that doesn't answer either, the other node.
-func TestAReaderWithAForgottenWatchAsksTheStoreAndThenTheOther(t *testing.T) {
-	for _, away := range []bool{false, true} {
-		s, a := &fakeStore{known: 4, stored: 7, reading: true, away: away}, &fakeAsker{}
-		play(t, s, a, func(f *Follower) {
-			a.answers(func(string) { f.News(t.Context()).Take([]byte("seven")) })
-			f.Heard(elsewhere, mesh.Load{Revision: 7})
+// The store has lost a reader's watch, and the reader of another zone reports a newer
+// revision. The reader must ask the store, and the other node only if the store doesn't answer.
+func TestReaderWithLostWatchAsksStoreThenPeer(t *testing.T) {
+	for _, unavailable := range []bool{false, true} {
+		s, a := &fakeStore{known: 4, stored: 7, reading: true, unavailable: unavailable}, &fakeAsker{}
+		runFollower(t, s, a, func(f *Follower) {
+			a.onAsk(func(string) { f.News(t.Context()).Take([]byte("seven")) })
+			f.Heard(otherZoneNode, mesh.Load{Revision: 7})
 			time.Sleep(100 * time.Millisecond)
-			require.Zero(t, s.refreshes(), "its own watch mostly has the news by then")
+			require.Zero(t, s.refreshes(), "its own watch usually has the update by then")
 			time.Sleep(900 * time.Millisecond)
 			require.Equal(t, 1, s.refreshes())
 			require.EqualValues(t, 7, s.Revision())
-			require.Equal(t, away, len(a.questions()) == 1)
+			require.Equal(t, unavailable, len(a.queries()) == 1)
 		})
 	}
 }
 
-// A node that knows nothing yet reads the store itself; what others have seen is no
-// news to it.
-func TestBeforeTheFirstReadNothingIsAsked(t *testing.T) {
+// A node without any state reads the store itself, so it must not request updates.
+func TestReportsAreIgnoredBeforeTheFirstRead(t *testing.T) {
 	s, a := &fakeStore{stored: 7}, &fakeAsker{}
-	play(t, s, a, func(f *Follower) {
-		f.Heard(nearby, mesh.Load{Revision: 7})
+	runFollower(t, s, a, func(f *Follower) {
+		f.Heard(sameZoneNode, mesh.Load{Revision: 7})
 		time.Sleep(time.Second)
-		require.Empty(t, a.questions())
+		require.Empty(t, a.queries())
 		require.Zero(t, s.refreshes())
 	})
 }
--- a/internal/mesh/reader/table.go
+++ b/internal/mesh/reader/table.go
@@ -1,10 +1,10 @@
-// Package reader decides which nodes read the platform's store themselves, and gets
-// the others its news. In each availability zone one node reads; the others take what
-// it tells, and read themselves as soon as they stop hearing of a node that does.
+// Package reader decides which nodes read the platform's store themselves and distributes
+// the store's updates to the others. In each availability zone one node reads. The others
+// follow it, and one of them takes over when no reader reports any more.
 //
-// Nobody is elected and nothing is agreed on: every node ranks those of its zone the
-// same way, and reads unless it hears of one ranked before it that does. When
-// they disagree, more nodes read than have to, never fewer.
+// There is no election and no agreement: all nodes rank the nodes of their zone in the same
+// order, and a node reads unless a node ranked before it reports that it reads. Where their
+// views differ, more nodes read than necessary, never fewer.
 package reader
 
 import (
@@ -19,59 +19,59 @@
 )
 
 const (
-	// silentAfter is how long a reader may be silent before it is taken for gone.
-	// It tells every ReportEvery that it is there. With what the next one needs to
-	// read, this stays below the two seconds within which a change is to be in force.
-	silentAfter = 1200 * time.Millisecond
-	// ReportEvery is how often a reader tells its zone that it is there, at least.
+	// readerTimeout is how long after its last report a reader is considered gone. Readers
+	// report at least every ReportInterval. Together with the time the next node needs to
+	// read, it stays below the two seconds within which a change must be in force.
+	readerTimeout = 1200 * time.Millisecond
+	// ReportInterval is the longest pause between two reports of a reader to its zone.
 	ReportEvery = 500 * time.Millisecond
-	// rankDelay is how much longer than the one before it a node waits for a silent
-	// reader, and mostRankDelay the most that adds up to: otherwise all nodes of a
-	// zone would ask the store at the moment at which its reader freezes.
-	rankDelay     = 40 * time.Millisecond
-	mostRankDelay = 320 * time.Millisecond
-	// settling is how long after the first View nodes that come up are assumed to
-	// read until they say so: where a whole fleet starts, its targets register one by
-	// one. With silentAfter it ends before a node that has just started is expected to
-	// follow changes, five seconds after its start.
-	settling = 3 * time.Second
-	// leadsPerZone is how many nodes of every other zone a reader stays connected
-	// to: the one that usually reads there and the next one.
-	leadsPerZone = 2
+	// rankDelay is the additional wait for an unresponsive reader per node ranked before,
+	// and maxRankDelay limits the sum. Without the delay, all nodes of a zone would read
+	// the store at once when their reader freezes.
+	rankDelay    = 40 * time.Millisecond
+	maxRankDelay = 320 * time.Millisecond
+	// startupGrace is how long after the first View newly registered nodes are assumed to
+	// be readers until they report, because the targets of a starting fleet register one by
+	// one. Together with readerTimeout it ends before a starting node must follow changes,
+	// which is five seconds after its start.
+	startupGrace = 3 * time.Second
+	// remoteReadersPerZone is how many nodes of each other zone a reader stays connected
+	// to: the likely reader and its successor.
+	remoteReadersPerZone = 2
 )
 
-// Table is what a node knows of who reads the store. Safe for concurrent use.
+// Table holds what a node knows about which nodes read the store. Safe for concurrent use.
 type Table struct {
 	own  string
 	zone string
 	now  func() time.Duration
 
 	mu sync.Mutex
-	// before are the nodes of the own zone that go before this one, best first. While
-	// the own backend server isn't registered no other node knows this one and could take
-	// news from it, so that all go before it.
-	before []string
-	// leads are the best nodes of all other zones.
-	leads []string
-	zones map[string]string
-	// heard is nil until the first View came.
-	heard map[string]word
-	// settled is until when nodes are assumed to read that weren't heard of yet.
-	settled time.Duration
+	// preceding are the nodes of the local zone ranked before this one, best first. While the
+	// local backend server isn't registered, no other node knows this one and could follow it,
+	// so all nodes of the zone precede it.
+	preceding []string
+	// remoteReaders are the best-ranked nodes of all other zones.
+	remoteReaders []string
+	zones         map[string]string
+	// reports is nil until the first View.
+	reports map[string]report
+	// assumeUntil is the end of the time in which unknown nodes are assumed to read.
+	assumeUntil time.Duration
 }
 
-// word is when a node was last heard of, and whether it reads the store.
-type word struct {
+// report is the time of a node's last report and whether the node reads the store.
+type report struct {
 	at      time.Duration
 	reading bool
 }
 
-// NewTable returns the Table of the node that takes requests of nodes at own.
+// NewTable returns the Table of the node that accepts peer connections at own.
 func NewTable(own string, here mesh.Place, now func() time.Duration) *Table {
 	return &Table{own: own, zone: here.Zone, now: now}
 }
 
-// SetView takes over which nodes there are.
+// SetView updates the set of nodes.
 func (t *Table) SetView(v *mesh.View) {
 	byZone := map[string][]string{}
 	zones := make(map[string]string, len(v.Peers))
@@ -79,49 +79,49 @@
 		byZone[p.Zone] = append(byZone[p.Zone], addr)
 		zones[addr] = p.Zone
 	}
-	var leads []string
+	var remoteReaders []string
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 		list := byZone[zone]
 		slices.SortFunc(list, rank)
 		if zone != t.zone {
-			leads = append(leads, list[:min(len(list), leadsPerZone)]...)
+			remoteReaders = append(remoteReaders, list[:min(len(list), remoteReadersPerZone)]...)
 		}
 	}
-	before := byZone[t.zone]
+	preceding := byZone[t.zone]
 	if v.Own != nil {
-		before = slices.DeleteFunc(before, func(addr string) bool { return rank(addr, t.own) > 0 })
+		preceding = slices.DeleteFunc(preceding, func(addr string) bool { return rank(addr, t.own) > 0 })
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.assume(before)
-	t.before, t.leads, t.zones = before, leads, zones
-	for addr := range t.heard {
-		if _, there := zones[addr]; !there {
-			delete(t.heard, addr)
+	t.assumeReading(preceding)
+	t.preceding, t.remoteReaders, t.zones = preceding, remoteReaders, zones
+	for addr := range t.reports {
+		if _, known := zones[addr]; !known {
+			delete(t.reports, addr)
 		}
 	}
 }
 
-// assume takes the nodes before this one for readers until they had time to say
-// so. Otherwise each node of a fleet that starts would begin to read, and go on until
-// it hears of another reader. The mutex is held.
-func (t *Table) assume(before []string) {
+// assumeReading marks the preceding nodes that haven't reported yet as readers during the
+// startup grace period. Otherwise each node of a starting fleet would read until another
+// reader reports. The mutex is held.
+func (t *Table) assumeReading(preceding []string) {
 	now := t.now()
-	if t.heard == nil {
-		t.heard = make(map[string]word, len(before))
-		t.settled = now + settling
+	if t.reports == nil {
+		t.reports = make(map[string]report, len(preceding))
+		t.assumeUntil = now + startupGrace
 	}
-	if now > t.settled {
+	if now > t.assumeUntil {
 		return
 	}
-	for _, addr := range before {
-		if _, known := t.heard[addr]; !known {
-			t.heard[addr] = word{at: now, reading: true}
+	for _, addr := range preceding {
+		if _, known := t.reports[addr]; !known {
+			t.reports[addr] = report{at: now, reading: true}
 		}
 	}
 }
 
-// rank orders nodes in a way that all agree on and that spreads readers over the VMs.
+// rank orders nodes by hash: the order is the same on all nodes and spreads readers over VMs.
 func rank(a, b string) int {
 	return cmp.Or(cmp.Compare(hash(a), hash(b)), cmp.Compare(a, b))
 }
@@ -133,65 +133,66 @@
 	return h.Sum64()
 }
 
-// Heard takes a node's word on whether it reads the store.
-func (t *Table) Heard(addr string, reading bool) {
+// RecordReport records whether a node reports that it reads the store.
+func (t *Table) RecordReport(addr string, reading bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.heard == nil {
+	if t.reports == nil {
 		return
 	}
-	t.heard[addr] = word{at: t.now(), reading: reading}
+	t.reports[addr] = report{at: t.now(), reading: reading}
 }
 
-// Reads says whether this node is to read the store itself, and if not, when to ask
-// again: as long as a node that goes before it says that it does, it isn't.
-func (t *Table) Reads() (reads bool, again time.Duration) {
+// ShouldRead reports whether this node must read the store itself, which is the case unless
+// a preceding node reports that it does. recheckAt is when to check again if not.
+func (t *Table) Reads() (reads bool, recheckAt time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	patience := silentAfter + min(time.Duration(len(t.before))*rankDelay, mostRankDelay)
-	for _, addr := range t.before {
-		w := t.heard[addr]
-		if w.reading && now < w.at+patience {
-			return false, w.at + patience
+	timeout := readerTimeout + min(time.Duration(len(t.preceding))*rankDelay, maxRankDelay)
+	for _, addr := range t.preceding {
+		r := t.reports[addr]
+		if r.reading && now < r.at+timeout {
+			return false, r.at + timeout
 		}
 	}
 	return true, now
 }
 
-// outageReaders is how many nodes of a zone look for a store that is away in place of all.
+// outageReaders is how many nodes of a zone probe an unavailable store on behalf of all.
 const outageReaders = 2
 
-// First says whether this node is among the first to read the store for its zone.
+// IsPreferredReader reports whether this node ranks among the first outageReaders of its zone.
 func (t *Table) First() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.before) < outageReaders
+	return len(t.preceding) < outageReaders
 }
 
-// Served says whether any other node was heard of lately that reads the store.
+// HasOtherReader reports whether another node has reported within readerTimeout that it reads
+// the store.
 func (t *Table) Served() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	for _, w := range t.heard {
-		if w.reading && now < w.at+silentAfter {
+	for _, r := range t.reports {
+		if r.reading && now < r.at+readerTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// Leads gives the nodes of other zones that a reader stays connected to. What the
-// reader of one zone has seen then reaches those of all others within moments, also if
-// their own watches have been forgotten.
-func (t *Table) Leads() []string {
+// RemoteReaders returns the nodes of other zones that a reader stays connected to. Updates
+// that the reader of one zone receives then reach the readers of all other zones quickly,
+// even if the store has lost their watches.
+func (t *Table) RemoteReaders() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.leads
+	return t.remoteReaders
 }
 
-// sameZone says whether a node stands in the own zone.
+// sameZone reports whether a node is in the local zone.
 func (t *Table) sameZone(addr string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/mesh/reader/table_test.go
+++ b/internal/mesh/reader/table_test.go
@@ -13,28 +13,28 @@
 	"github.com/limpetdock/limpetdock/internal/mesh"
 )
 
-// fleet is the Tables of the nodes of one zone, with a clock that they share.
-type fleet struct {
+// simZone holds the Tables of the nodes of one zone, which share a simulated clock.
+type simZone struct {
 	now    time.Duration
 	addrs  []string
 	tables map[string]*Table
 }
 
-func newFleet(nodes int) *fleet {
-	f := &fleet{tables: map[string]*Table{}}
+func newSimZone(nodes int) *simZone {
+	f := &simZone{tables: map[string]*Table{}}
 	for i := range nodes {
 		addr := fmt.Sprintf("10.1.0.%d:8300", i+1)
 		f.addrs = append(f.addrs, addr)
 		f.tables[addr] = NewTable(addr, mesh.Place{Zone: "rs-a"}, func() time.Duration { return f.now })
 	}
 	for addr := range f.tables {
-		f.publish(addr)
+		f.setView(addr)
 	}
 	return f
 }
 
-// publish gives a node its View.
-func (f *fleet) publish(addr string) {
+// setView sets the View of a node.
+func (f *simZone) setView(addr string) {
 	v := &mesh.View{Own: &mesh.Target{}, Peers: map[string]mesh.Peer{
 		"10.2.0.1:8300": {Zone: "rs-b"}, "10.2.0.2:8300": {Zone: "rs-b"}, "10.2.0.3:8300": {Zone: "rs-b"}, "10.3.0.1:8300": {Zone: "sc-a"},
 	}}
@@ -46,8 +46,8 @@
 	f.tables[addr].SetView(v)
 }
 
-// readers are the nodes that read now, of those alive.
-func (f *fleet) readers(alive func(string) bool) []string {
+// readers returns the nodes among those alive that should read now.
+func (f *simZone) readers(alive func(string) bool) []string {
 	var list []string
 	for _, addr := range f.addrs {
 		if reads, _ := f.tables[addr].Reads(); alive(addr) && reads {
@@ -57,8 +57,8 @@
 	return list
 }
 
-// play lets a time pass in which every node that is alive reports each half second.
-func (f *fleet) play(d time.Duration, alive func(string) bool) {
+// advance advances the clock by d. Every node that is alive reports each half second.
+func (f *simZone) advance(d time.Duration, alive func(string) bool) {
 	for end := f.now + d; f.now < end; f.now += ReportEvery / 10 {
 		for i, addr := range f.addrs {
 			if !alive(addr) || (int(f.now/(ReportEvery/10))+i)%10 != 0 {
@@ -67,101 +67,101 @@
 			reads, _ := f.tables[addr].Reads()
 			for _, other := range f.addrs {
 				if other != addr {
-					f.tables[other].Heard(addr, reads)
+					f.tables[other].RecordReport(addr, reads)
 				}
 			}
 		}
 	}
 }
 
-func everybody(string) bool { return true }
+func allAlive(string) bool { return true }
 
-func TestOneNodeOfAZoneReads(t *testing.T) {
+func TestOneNodePerZoneReads(t *testing.T) {
 	for _, nodes := range []int{1, 2, 15, 80} {
-		f := newFleet(nodes)
-		require.Len(t, f.readers(everybody), 1, "at the start, before anybody has said anything")
-		f.play(10*time.Second, everybody)
-		require.Len(t, f.readers(everybody), 1)
+		f := newSimZone(nodes)
+		require.Len(t, f.readers(allAlive), 1, "at the start, before any report")
+		f.advance(10*time.Second, allAlive)
+		require.Len(t, f.readers(allAlive), 1)
 	}
 }
 
-// A whole fleet starts, and its targets register one by one over three seconds. Only
-// few nodes read meanwhile, and in the end one does. A node that goes first but never
-// says that it reads holds nobody up for long.
-func TestAFleetThatStartsHasFewReaders(t *testing.T) {
-	f := newFleet(0)
+// A whole fleet starts, and its targets register one by one over three seconds. Few nodes
+// may read in the meantime, and one in the end. A preceding node that never reports must not
+// hold up the others for long.
+func TestMassStartHasFewReaders(t *testing.T) {
+	f := newSimZone(0)
 	sum := 0
 	for i := range 15 {
 		addr := fmt.Sprintf("10.1.0.%d:8300", i+1)
 		f.addrs = append(f.addrs, addr)
 		f.tables[addr] = NewTable(addr, mesh.Place{Zone: "rs-a"}, func() time.Duration { return f.now })
 		for _, known := range f.addrs {
-			f.publish(known)
+			f.setView(known)
 		}
-		f.play(200*time.Millisecond, everybody)
-		sum += len(f.readers(everybody))
-	}
-	require.Less(t, sum, 2*15, "two at a time on average")
-	f.play(3*time.Second, everybody)
-	require.Len(t, f.readers(everybody), 1)
-	first := f.readers(everybody)[0]
-	mute := func(addr string) bool { return addr != first }
-	f.play(2*time.Second, mute)
-	require.Len(t, f.readers(mute), 1)
+		f.advance(200*time.Millisecond, allAlive)
+		sum += len(f.readers(allAlive))
+	}
+	require.Less(t, sum, 2*15, "fewer than two readers on average")
+	f.advance(3*time.Second, allAlive)
+	require.Len(t, f.readers(allAlive), 1)
+	first := f.readers(allAlive)[0]
+	withoutFirst := func(addr string) bool { return addr != first }
+	f.advance(2*time.Second, withoutFirst)
+	require.Len(t, f.readers(withoutFirst), 1)
 }
 
-// The reader of a zone freezes. The others know of changes within two seconds all the
-// same: one of them reads before that, and not all of them begin to at once. When the
-// reader wakes, one is left.
-func TestASilentReaderIsSucceededInTime(t *testing.T) {
-	f := newFleet(15)
-	f.play(5*time.Second, everybody)
-	reader := f.readers(everybody)[0]
+// The reader of a zone freezes. Another node must read early enough for changes to be in
+// force within two seconds, and not all nodes may start reading at once. Once the reader
+// resumes, it is the only one again.
+func TestUnresponsiveReaderIsReplacedInTime(t *testing.T) {
+	f := newSimZone(15)
+	f.advance(5*time.Second, allAlive)
+	reader := f.readers(allAlive)[0]
 	awake := func(addr string) bool { return addr != reader }
 	frozen := f.now
 	most := 0
 	for len(f.readers(awake)) == 0 {
-		f.play(10*time.Millisecond, awake)
+		f.advance(10*time.Millisecond, awake)
 		require.Less(t, f.now-frozen, 1600*time.Millisecond)
 	}
 	for range 100 {
-		f.play(ReportEvery/10, awake)
+		f.advance(ReportEvery/10, awake)
 		most = max(most, len(f.readers(awake)))
 	}
 	require.Less(t, most, len(f.addrs))
 	require.Len(t, f.readers(awake), 1)
-	f.play(5*time.Second, everybody)
-	require.Equal(t, []string{reader}, f.readers(everybody))
+	f.advance(5*time.Second, allAlive)
+	require.Equal(t, []string{reader}, f.readers(allAlive))
 }
 
-// The store turns the reader away but not the next node. The reader says so, and is
-// passed over at once.
-func TestAReaderThatTheStoreTurnsAwayIsPassedOver(t *testing.T) {
-	f := newFleet(3)
-	f.play(5*time.Second, everybody)
-	reader := f.readers(everybody)[0]
+// The store refuses the reader but not the next node. The reader reports this and must be
+// replaced at once.
+func TestReaderRefusedByTheStoreIsReplacedAtOnce(t *testing.T) {
+	f := newSimZone(3)
+	f.advance(5*time.Second, allAlive)
+	reader := f.readers(allAlive)[0]
 	for _, addr := range f.addrs {
 		if addr != reader {
-			f.tables[addr].Heard(reader, false)
+			f.tables[addr].RecordReport(reader, false)
 		}
 	}
 	served := func(addr string) bool { return addr != reader }
 	require.NotEmpty(t, f.readers(served), "at once")
-	f.play(time.Second, served)
+	f.advance(time.Second, served)
 	require.Len(t, f.readers(served), 1)
 }
 
-// A zone is cut into two halves that don't hear each other. Each half has a reader.
-func TestEachHalfOfACutZoneHasAReader(t *testing.T) {
-	f := newFleet(8)
-	f.play(5*time.Second, everybody)
+// A zone is split by a network partition. Each side must have a reader.
+func TestEachSideOfAPartitionedZoneHasAReader(t *testing.T) {
+	f := newSimZone(8)
+	f.advance(5*time.Second, allAlive)
 	for range 100 {
 		f.now += ReportEvery / 10
 		for i, addr := range f.addrs {
 			reads, _ := f.tables[addr].Reads()
 			for k, other := range f.addrs {
 				if other != addr && i%2 == k%2 {
-					f.tables[other].Heard(addr, reads)
+					f.tables[other].RecordReport(addr, reads)
 				}
 			}
 		}
@@ -177,30 +177,30 @@
 	}
 }
 
-// New nodes register while a zone has its reader, and one of them goes before it. The
-// reader goes on until that one says that it reads.
-func TestANewNodeReadsBeforeTheReaderStops(t *testing.T) {
+// A new node registers in a zone that has a reader and may rank before it. The reader must
+// continue until that node reports that it reads.
+func TestReaderStopsOnlyOnceHigherRankedNodeReads(t *testing.T) {
 	for seed := range uint64(20) {
-		f := newFleet(6)
-		f.play(5*time.Second, everybody)
-		reader := f.readers(everybody)[0]
+		f := newSimZone(6)
+		f.advance(5*time.Second, allAlive)
+		reader := f.readers(allAlive)[0]
 		addr := fmt.Sprintf("10.9.0.%d:8300", rand.New(rand.NewPCG(seed, seed)).IntN(250))
 		f.addrs = append(f.addrs, addr)
-		f.publish(reader)
+		f.setView(reader)
 		reads, _ := f.tables[reader].Reads()
 		require.True(t, reads)
-		f.tables[reader].Heard(addr, true)
+		f.tables[reader].RecordReport(addr, true)
 		reads, _ = f.tables[reader].Reads()
 		require.Equal(t, rank(addr, reader) > 0, reads)
 	}
 }
 
-// Guards against nodes that all read the store while a fleet starts whose targets register
-// one after the other.
-func TestANodeThatNobodyKnowsReadsOnlyIfNoOtherDoes(t *testing.T) {
-	f := newFleet(6)
-	f.play(5*time.Second, everybody)
-	reader := f.readers(everybody)[0]
+// Guards against all nodes reading the store while a fleet starts whose targets register one
+// after the other.
+func TestUnregisteredNodeReadsOnlyIfNoOtherDoes(t *testing.T) {
+	f := newSimZone(6)
+	f.advance(5*time.Second, allAlive)
+	reader := f.readers(allAlive)[0]
 	first := f.tables[reader]
 	unknown := &mesh.View{Peers: map[string]mesh.Peer{}}
 	for _, addr := range f.addrs[1:] {
@@ -209,41 +209,41 @@
 	delete(unknown.Peers, reader)
 	other := slices.Sorted(maps.Keys(unknown.Peers))[0]
 	first.SetView(unknown)
-	first.Heard(other, true)
+	first.RecordReport(other, true)
 	reads, _ := first.Reads()
 	require.False(t, reads)
 	require.False(t, first.First())
 	for addr := range unknown.Peers {
-		first.Heard(addr, false)
+		first.RecordReport(addr, false)
 	}
 	reads, _ = first.Reads()
-	require.True(t, reads, "no other does")
+	require.True(t, reads, "no other node reads")
 }
 
-// Guards against a fleet all of whose nodes call a store that is away.
-func TestFewNodesOfAZoneLookForAStoreThatIsAway(t *testing.T) {
-	f := newFleet(33)
-	f.play(5*time.Second, everybody)
+// Guards against a fleet whose nodes all call an unavailable store.
+func TestFewNodesPerZoneProbeAnUnavailableStore(t *testing.T) {
+	f := newSimZone(33)
+	f.advance(5*time.Second, allAlive)
 	n := 0
 	for _, table := range f.tables {
 		if table.First() {
 			n++
 		}
-		require.True(t, table.Served() || len(table.before) == 0)
+		require.True(t, table.Served() || len(table.preceding) == 0)
 	}
 	require.Equal(t, outageReaders, n)
 	for _, table := range f.tables {
 		for _, addr := range f.addrs {
-			table.Heard(addr, false)
+			table.RecordReport(addr, false)
 		}
 		require.False(t, table.Served())
 	}
 }
 
-func TestAReaderKeepsToTheBestOfOtherZones(t *testing.T) {
-	f := newFleet(2)
-	leads := f.tables[f.addrs[0]].Leads()
-	require.Len(t, leads, 3)
-	require.Contains(t, leads, "10.3.0.1:8300")
-	require.Equal(t, leads, f.tables[f.addrs[1]].Leads())
+func TestReaderConnectsToLikelyReadersOfOtherZones(t *testing.T) {
+	f := newSimZone(2)
+	remote := f.tables[f.addrs[0]].RemoteReaders()
+	require.Len(t, remote, 3)
+	require.Contains(t, remote, "10.3.0.1:8300")
+	require.Equal(t, remote, f.tables[f.addrs[1]].RemoteReaders())
 }
