--- a/internal/mesh/node/admin.go
+++ b/internal/mesh/node/admin.go
@@ -16,32 +16,32 @@
 	"github.com/limpetdock/limpetdock/internal/metrics"
 )
 
-// Paths of the operators' port.
+// Paths on the operators' port.
 const (
-	// PathMetrics serves all metrics, and PathNodeMetrics the plain counters and
-	// gauges of the node only.
+	// PathMetrics serves all metrics, PathNodeMetrics only the node's counters and
+	// gauges without labels.
 	PathMetrics     = "/metrics"
 	PathNodeMetrics = "/metrics/node"
-	// PathState dumps what the node believes.
+	// PathState serves a dump of the node's state.
 	PathState = "/state"
 )
 
-// admin answers the platform's readiness check and operators.
+// admin serves the platform's readiness check and the operators' port.
 type admin struct {
 	readyPath string
 	entry     *entry.Entry
-	guard     *reporter
+	guard     *reportingGuard
 	metrics   *metrics.Metrics
 	now       clock.Clock
 	stopping  atomic.Bool
 }
 
-func newAdmin(p Platform, e *entry.Entry, g *reporter, m *metrics.Metrics, now clock.Clock) *admin {
+func newAdmin(p Platform, e *entry.Entry, g *reportingGuard, m *metrics.Metrics, now clock.Clock) *admin {
 	gin.SetMode(gin.ReleaseMode)
 	return &admin{readyPath: p.ReadyPath, entry: e, guard: g, metrics: m, now: now}
 }
 
-// adminTimeout bounds reading a request's header at these ports.
+// adminTimeout bounds reading a request's header on these ports.
 const adminTimeout = 5 * time.Second
 
 func serveHTTP(l net.Listener, h http.Handler) error {
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// serveReady answers the platform: the node takes callers while it has a
-// configuration and a list of targets and doesn't stop.
+// serveReady serves the readiness check. The node accepts callers while it has a
+// configuration and a list of targets and is not stopping.
 func (a *admin) serveReady(l net.Listener) error {
 	r := gin.New()
 	r.GET(a.readyPath, func(c *gin.Context) {
@@ -66,7 +66,7 @@
 	return serveHTTP(l, r)
 }
 
-// serve answers operators.
+// serve serves the operators' port.
 func (a *admin) serve(l net.Listener) error {
 	r := gin.New()
 	r.GET(PathMetrics, gin.WrapH(promhttp.HandlerFor(a.metrics.Registry, promhttp.HandlerOpts{})))
@@ -75,13 +75,13 @@
 	return serveHTTP(l, r)
 }
 
-// state is a dump of what a node believes.
+// state is the JSON dump of a node's state.
 type state struct {
 	Stopping bool `json:"stopping"`
-	// Config is the version in force, 0 for none; Revision the store's.
+	// Config is the version in force, 0 if none; Revision is the store's.
 	Config   uint64 `json:"config"`
 	Revision uint64 `json:"revision"`
-	// Reading says that the node reads the store itself.
+	// Reading is true if the node reads the store itself.
 	Reading bool          `json:"reading"`
 	Active  int           `json:"active"`
 	Load    mesh.Load     `json:"load"`
--- a/internal/mesh/node/callers.go
+++ b/internal/mesh/node/callers.go
@@ -13,36 +13,36 @@
 	"github.com/limpetdock/limpetdock/internal/mesh/front"
 )
 
-// callers answers requests of callers: it reads the headers that the platform's
-// dialect gives them, and turns errors into answers.
-type callers struct {
+// callerHandler serves callers' requests: it reads the headers of the platform's dialect and
+// turns errors into responses.
+type callerHandler struct {
 	entry   *entry.Entry
 	dialect mesh.Dialect
 	now     func() time.Duration
 }
 
-// Serve answers one request.
-func (c *callers) Serve(ctx context.Context, r *front.Request) *front.Response {
+// Serve serves one request.
+func (c *callerHandler) Serve(ctx context.Context, r *front.Request) *front.Response {
 	in := c.inbound(r)
 	if in.ID == "" {
-		return c.refusal(in.ID, kind.New(kind.BadRequest, "%s is missing", c.dialect.Headers.RequestID))
+		return c.errorResponse(in.ID, kind.New(kind.BadRequest, "%s is missing", c.dialect.Headers.RequestID))
 	}
 	answer, err := c.entry.Serve(ctx, in)
 	if err != nil {
-		return c.refusal(in.ID, err)
+		return c.errorResponse(in.ID, err)
 	}
 	return &front.Response{Status: answer.Status, Header: answer.Header, Body: answer.Body}
 }
 
-// inbound reads the headers that mean something to the system, and takes away
-// those that only the system may set.
-func (c *callers) inbound(r *front.Request) *entry.Inbound {
+// inbound reads the headers that the system uses and removes those that only the system may
+// set.
+func (c *callerHandler) inbound(r *front.Request) *entry.Inbound {
 	names := c.dialect.Headers
 	in := &entry.Inbound{
 		ID: r.Header.Get(names.RequestID), Method: r.Method, URI: r.URI, Path: r.Path, Host: r.Host,
 		Header: r.Header, Body: r.Body, Arrived: c.now() - time.Since(r.Arrived),
 	}
-	// A time that can't be read is as good as none: the route's holds.
+	// An unreadable timeout counts as none: the route's timeout applies.
 	if ms, err := strconv.ParseInt(r.Header.Get(names.TimeoutMs), 10, 64); err == nil && ms > 0 {
 		in.Timeout = time.Duration(ms) * time.Millisecond
 	}
@@ -52,38 +52,38 @@
 	return in
 }
 
-// errorBody is the JSON body of an answer that the system makes.
+// errorBody is the JSON body of a response that the system itself generates.
 type errorBody struct {
 	Kind    kind.Kind `json:"kind"`
 	Message string    `json:"message"`
 }
 
-func (c *callers) refusal(id string, e *kind.Error) *front.Response {
-	row, ok := kind.AnswerOf(e.Kind)
+func (c *callerHandler) errorResponse(id string, e *kind.Error) *front.Response {
+	answer, ok := kind.AnswerOf(e.Kind)
 	if !ok {
-		row, _ = kind.AnswerOf(kind.OutcomeUnknown)
+		answer, _ = kind.AnswerOf(kind.OutcomeUnknown)
 	}
 	notRun := e.Said() == kind.NotRun
 	h := http.Header{"Content-Type": {"application/json"}}
 	if id != "" {
 		h.Set(c.dialect.Headers.RequestID, id)
 	}
-	if row.Retry && notRun {
+	if answer.Retry && notRun {
 		h.Set("Retry-After", c.dialect.RetryAfter(e.RetryAfter.Seconds()))
 	}
 	// Two strings can always be encoded.
 	body, _ := json.Marshal(errorBody{e.Kind, e.Message})
-	return &front.Response{Status: c.dialect.Status(row.Status, notRun), Header: h, Body: body}
+	return &front.Response{Status: c.dialect.Status(answer.Status, notRun), Header: h, Body: body}
 }
 
-// Reject answers a request that can't be read.
-func (c *callers) Reject(status int) *front.Response {
+// Reject returns the response to an unreadable request.
+func (c *callerHandler) Reject(status int) *front.Response {
 	body, _ := json.Marshal(errorBody{kind.BadRequest, http.StatusText(status)})
 	return &front.Response{Status: status, Header: http.Header{"Content-Type": {"application/json"}}, Body: body}
 }
 
-// Limits gives the limits in force.
-func (c *callers) Limits() mesh.Limits {
+// Limits returns the limits in force.
+func (c *callerHandler) Limits() mesh.Limits {
 	if v := c.entry.View(); v != nil {
 		return v.Config.Limits
 	}
--- a/internal/mesh/node/main.go
+++ b/internal/mesh/node/main.go
@@ -15,15 +15,15 @@
 	"github.com/limpetdock/limpetdock/internal/mesh/settings"
 )
 
-// Main runs a node with command-line arguments on a platform and gives its exit code.
+// Main runs a node on a platform with command-line arguments and returns its exit code.
 func Main(args []string, p Platform) int {
 	return daemon.Main("limpetdockd mesh", args, settings.Load, func(path string, s *settings.Settings) int { return serve(path, s, p) })
 }
 
 const (
-	// gcPercent lets the heap grow to four times what is live before it is
-	// collected; memoryLimit is where the collector works harder whatever gcPercent
-	// says, in bytes.
+	// gcPercent lets the heap grow to four times the live data between collections.
+	// memoryLimit, in bytes, is where the collector runs more often regardless of
+	// gcPercent.
 	gcPercent   = 300
 	memoryLimit = 96 << 20
 )
@@ -34,10 +34,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	log := decision.New(ctx, os.Stdout, slog.LevelInfo+slog.Level(s.Tunable.LogLevel)*(slog.LevelWarn-slog.LevelInfo))
-	var watch *watcher
+	var settingsWatch *settingsWatcher
 	app := fx.New(Module, fx.NopLogger, fx.Supply(s, p, log),
-		fx.Provide(func(t tunables) *watcher { return newWatcher(path, s, t, log) }),
-		fx.Populate(&watch),
+		fx.Provide(func(t tunables) *settingsWatcher { return newSettingsWatcher(path, s, t, log) }),
+		fx.Populate(&settingsWatch),
 		fx.StopTimeout(2*s.StopGrace))
 	if err := app.Err(); err != nil {
 		return daemon.Complain(err)
@@ -46,12 +46,12 @@
 	defer cancelStart()
 	if err := app.Start(start); err != nil {
 		log.Trouble("start failed", "error", err.Error())
-		log.Flush(flushWithin)
+		log.Flush(flushTimeout)
 		return daemon.ExitFailed
 	}
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	go watch.run(ctx, hup)
+	go settingsWatch.run(ctx, hup)
 	end := <-app.Wait()
 	stop, cancelStop := context.WithTimeout(ctx, app.StopTimeout())
 	defer cancelStop()
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts a node of a deployment together whose targets register
-// themselves, and runs it (uber/fx).
+// Package node assembles and runs a node (uber/fx) of a deployment whose targets register
+// themselves.
 package node
 
 import (
@@ -25,53 +25,53 @@
 	"github.com/limpetdock/limpetdock/internal/place"
 )
 
-// Platform is what a platform's adapter gives to a node.
+// Platform is what a platform's adapter provides to a node.
 type Platform struct {
 	Dialect mesh.Dialect
-	// ReadyPath is where the platform asks whether the node takes callers.
+	// ReadyPath is the path at which the platform checks whether the node accepts callers.
 	ReadyPath string
-	// Source opens the platform's store at an address.
+	// Source returns a Source for the platform's store at an address.
 	Source func(address string, log *decision.Log, sink *directory.Loop, part Part) Source
 }
 
-// Part tells a Source what the node has to do with the store.
+// SourceConfig is what a node provides to its Source.
 type Part struct {
-	// Reads says whether the node reads the store itself, and if not, at which time
-	// since its start to ask again.
-	Reads func() (reads bool, again time.Duration)
-	// Alone says whether the node hears of no other.
+	// ShouldRead reports whether the node must read the store itself, and if not, when to
+	// check again, as time since the node's start.
+	Reads func() (reads bool, recheckAt time.Duration)
+	// Isolated reports whether the node receives no reports from other nodes.
 	Alone func() bool
-	// First says whether the node is among the first of its zone to read the store, and
-	// Served whether it hears of any node that reads it.
+	// IsPreferredReader reports whether the node ranks among the first readers of its zone,
+	// and HasOtherReader whether another node reports that it reads the store.
 	First, Served func() bool
-	// Now gives the time since the node's start.
+	// Now returns the time since the node's start.
 	Now func() time.Duration
-	// Observe is told of each call to the store once it has ended.
+	// Observe is called after each call to the store has ended.
 	Observe func(StoreCall)
 }
 
-// Bootstrap asks the nodes beside some backend servers for what they know of the store. It
-// returns once one has told it, or none is going to.
+// Bootstrap asks the nodes beside registered backend servers for a snapshot of the store. It
+// returns once one has sent it or the search is given up.
 type Bootstrap func(ctx context.Context, registered []directory.Registration)
 
-// Source reads the platform's store and hands its news to the control goroutine.
+// Source reads the platform's store and passes its updates to the control goroutine.
 type Source interface {
 	reader.Store
-	// Run reads until ctx ends. While nothing is known yet, it gives bootstrap some of
-	// the registrations.
+	// Run reads until ctx ends. While the node has no state yet, it calls bootstrap with some
+	// of the registrations.
 	Run(ctx context.Context, bootstrap Bootstrap)
-	// Calls gives how many calls were made, and how many of them failed.
+	// Calls returns how many calls were made and how many of them failed.
 	Calls() (made, failed uint64)
-	// CallsFor gives how many calls were made for a cause.
+	// CallsFor returns how many calls were made for a cause.
 	CallsFor(StoreCause) uint64
 }
 
-// Module provides every part of a node. It needs *settings.Settings, Platform and
-// *decision.Log from outside.
+// Module provides all components of a node. It requires *settings.Settings, Platform and
+// *decision.Log.
 var Module = fx.Options(
 	fx.Provide(
-		clock.New, metrics.New, newBackend, newGuard, newTeller, newPeerServer, newPeerClient, newEntry,
-		newCallers, newFront, newLoop, newStoreCalls, newSource, newAdmin, newReports, newReaders, newFollower, newReporter,
+		clock.New, metrics.New, newBackend, newGuard, newLoadSender, newPeerServer, newPeerClient, newEntry,
+		newCallerHandler, newFront, newLoop, newStoreCalls, newSource, newAdmin, newReportDispatcher, newReaderTable, newFollower, newReportingGuard,
 	),
 	fx.Invoke(registerMetrics, run),
 )
@@ -80,7 +80,7 @@
 	return exchange.NewClient(s.Backend, p.Dialect.Headers)
 }
 
-func newGuard(s *settings.Settings, p Platform, b *exchange.Client, now clock.Clock, log *decision.Log, t *teller) *guard.Guard {
+func newGuard(s *settings.Settings, p Platform, b *exchange.Client, now clock.Clock, log *decision.Log, t *loadSender) *guard.Guard {
 	g := guard.New(guard.Config{
 		Here: s.Here, Dialect: p.Dialect, Backend: b, Now: now, Log: log, Changed: t.changed,
 	})
@@ -88,11 +88,11 @@
 	return g
 }
 
-func newPeerServer(s *settings.Settings, r *reporter) *peer.Server {
+func newPeerServer(s *settings.Settings, r *reportingGuard) *peer.Server {
 	return peer.NewServer(r, s.Here)
 }
 
-func newPeerClient(s *settings.Settings, r *reports) *peer.Client {
+func newPeerClient(s *settings.Settings, r *reportDispatcher) *peer.Client {
 	return peer.NewClient(s.Here, r)
 }
 
@@ -104,13 +104,13 @@
 	return e
 }
 
-func newCallers(e *entry.Entry, p Platform, now clock.Clock) *callers {
-	return &callers{entry: e, dialect: p.Dialect, now: now}
+func newCallerHandler(e *entry.Entry, p Platform, now clock.Clock) *callerHandler {
+	return &callerHandler{entry: e, dialect: p.Dialect, now: now}
 }
 
-func newFront(c *callers) *front.Server { return front.New(c) }
+func newFront(c *callerHandler) *front.Server { return front.New(c) }
 
-func newLoop(s *settings.Settings, now clock.Clock, log *decision.Log, e *entry.Entry, g *guard.Guard, c *peer.Client, r *reports, readers *reader.Table) *directory.Loop {
+func newLoop(s *settings.Settings, now clock.Clock, log *decision.Log, e *entry.Entry, g *guard.Guard, c *peer.Client, r *reportDispatcher, readers *reader.Table) *directory.Loop {
 	state := directory.New(s.Here, s.Backend, s.Regions, s.PeersPort())
 	return directory.NewLoop(state, log, now, func(v *mesh.View) {
 		r.setView(v)
@@ -121,52 +121,52 @@
 	})
 }
 
-// newReaders makes the Table of the node as others know it: by its VM's address, which
-// needn't be the one that it listens on.
-func newReaders(s *settings.Settings, now clock.Clock) *reader.Table {
+// newReaderTable identifies the node by its VM's address, as other nodes do. It may listen on a
+// different address.
+func newReaderTable(s *settings.Settings, now clock.Clock) *reader.Table {
 	return reader.NewTable(net.JoinHostPort(s.Here.IP, s.PeersPort()), s.Here, now)
 }
 
-func newSource(s *settings.Settings, p Platform, log *decision.Log, l *directory.Loop, r *reports, t *reader.Table, now clock.Clock, c *storeCalls) Source {
+func newSource(s *settings.Settings, p Platform, log *decision.Log, l *directory.Loop, r *reportDispatcher, t *reader.Table, now clock.Clock, c *storeCalls) Source {
 	source := p.Source(s.Store, log, l, Part{
-		Reads: t.Reads, First: t.First, Served: t.Served, Alone: r.alone, Now: now, Observe: c.observe,
+		Reads: t.Reads, First: t.First, Served: t.Served, Alone: r.isolated, Now: now, Observe: c.observe,
 	})
-	// Told by others that the own backend server is gone, the node finds out whether it
-	// is itself cut off from the store.
+	// If other nodes report that the local backend server's registration has ended, the node
+	// has to find out whether it is itself cut off from the store.
 	l.OnOwnEnded(func() { source.Refresh(reader.AnyRevision) })
 	return source
 }
 
-func newFollower(t *reader.Table, s Source, c *peer.Client, log *decision.Log, r *reports, o *reporter) *reader.Follower {
+func newFollower(t *reader.Table, s Source, c *peer.Client, log *decision.Log, r *reportDispatcher, o *reportingGuard) *reader.Follower {
 	f := reader.NewFollower(t, s, c, log)
 	r.onReport(f.Heard)
-	o.reads(s.Reading)
+	o.setReading(s.Reading)
 	return f
 }
 
-// parts are what a running node acts on.
-type parts struct {
+// components are the components that a running node starts and stops.
+type components struct {
 	fx.In
-	Settings *settings.Settings
-	Guard    *guard.Guard
-	Entry    *entry.Entry
-	Front    *front.Server
-	Peers    *peer.Server
-	Client   *peer.Client
-	Backend  *exchange.Client
-	Loop     *directory.Loop
-	Source   Source
-	Readers  *reader.Table
-	Follower *reader.Follower
-	Reporter *reporter
-	Admin    *admin
-	Teller   *teller
-	Log      *decision.Log
-	Now      clock.Clock
-	Shutdown fx.Shutdowner
+	Settings   *settings.Settings
+	Guard      *guard.Guard
+	Entry      *entry.Entry
+	Front      *front.Server
+	Peers      *peer.Server
+	Client     *peer.Client
+	Backend    *exchange.Client
+	Loop       *directory.Loop
+	Source     Source
+	Readers    *reader.Table
+	Follower   *reader.Follower
+	Reporter   *reportingGuard
+	Admin      *admin
+	LoadSender *loadSender
+	Log        *decision.Log
+	Now        clock.Clock
+	Shutdown   fx.Shutdowner
 }
 
-func run(lc fx.Lifecycle, p parts) {
+func run(lc fx.Lifecycle, p components) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
@@ -192,30 +192,30 @@
 
 func listen(s *settings.Settings) (*listeners, error) {
 	l := &listeners{}
-	for _, one := range []struct {
-		at   *net.Listener
-		addr string
+	for _, port := range []struct {
+		listener *net.Listener
+		addr     string
 	}{{&l.peers, s.Peers}, {&l.callers, s.Callers}, {&l.ready, s.Ready}, {&l.admin, s.Admin}} {
-		opened, err := net.Listen("tcp", one.addr)
+		opened, err := net.Listen("tcp", port.addr)
 		if err != nil {
 			return nil, err
 		}
-		*one.at = opened
+		*port.listener = opened
 	}
 	return l, nil
 }
 
 // serve starts the goroutines of the node.
-func (p *parts) serve(ctx context.Context, l *listeners) {
-	news := p.Follower.News(ctx)
-	p.Client.OnNews(news)
-	p.Peers.OnNews(p.lacksState, news)
+func (p *components) serve(ctx context.Context, l *listeners) {
+	updates := p.Follower.News(ctx)
+	p.Client.OnNews(updates)
+	p.Peers.OnNews(p.needsSnapshot, updates)
 	go p.Loop.Run(ctx)
 	go p.Source.Run(ctx, p.bootstrap)
 	go p.Guard.Probe(ctx)
 	go p.Follower.Run(ctx)
-	go p.Teller.run(ctx, p.Peers, p.Reporter)
-	go p.warm(ctx)
+	go p.LoadSender.run(ctx, p.Peers, p.Reporter)
+	go p.keepConnected(ctx)
 	for _, serve := range []func() error{
 		func() error { return p.Peers.Serve(l.peers) },
 		func() error { return p.Front.Serve(l.callers) },
@@ -225,26 +225,26 @@
 		go func() {
 			if err := serve(); err != nil {
 				p.Log.Trouble("a server ended", "error", err.Error())
-				// The process ends and is started again with all of its ports.
+				// The process exits and is restarted with all of its ports.
 				_ = p.Shutdown.Shutdown(fx.ExitCode(daemon.ExitFailed))
 			}
 		}()
 	}
 }
 
-// bootstrap asks other nodes for what they know of the store.
-func (p *parts) bootstrap(ctx context.Context, registered []directory.Registration) {
-	p.Follower.Bootstrap(ctx, p.peersBeside(registered))
+// bootstrap asks other nodes for a snapshot of the store.
+func (p *components) bootstrap(ctx context.Context, registered []directory.Registration) {
+	p.Follower.Bootstrap(ctx, p.peersOf(registered))
 }
 
-// peersBeside gives the nodes beside backend servers.
-func (p *parts) peersBeside(registered []directory.Registration) map[string]mesh.Peer {
+// peersOf returns the nodes beside registered backend servers.
+func (p *components) peersOf(registered []directory.Registration) map[string]mesh.Peer {
 	s := p.Settings
 	peers := make(map[string]mesh.Peer, len(registered))
 	for _, r := range registered {
 		addr, distance, err := r.Peer(s.Here, s.Regions, s.PeersPort())
 		if err != nil {
-			// The directory names no target by it either.
+			// The directory drops such a target as well.
 			continue
 		}
 		peers[addr] = mesh.Peer{Zone: r.Zone, Distance: distance}
@@ -252,21 +252,21 @@
 	return peers
 }
 
-// lacksState says whether the node has nothing in force yet.
-func (p *parts) lacksState() bool { return p.Entry.View() == nil }
+// needsSnapshot reports whether the node has nothing in force yet.
+func (p *components) needsSnapshot() bool { return p.Entry.View() == nil }
 
 const (
-	// warmEvery is the pause between looks for nodes of the region that no
-	// connection is open to. Load reports come over these connections.
-	warmEvery = 500 * time.Millisecond
-	// warmTimeout bounds opening one.
-	warmTimeout = 500 * time.Millisecond
+	// connectInterval is the pause between checks for nodes to which no connection is
+	// open. Load reports arrive over these connections.
+	connectInterval = 500 * time.Millisecond
+	// connectTimeout bounds opening one connection.
+	connectTimeout = 500 * time.Millisecond
 )
 
-// warm keeps connections open to the nodes of the own region, and from a node that
-// reads the store to the likely readers of all zones.
-func (p *parts) warm(ctx context.Context) {
-	ticker := time.NewTicker(warmEvery)
+// keepConnected keeps connections open to the nodes of the local region, and, if the node reads
+// the store, to the likely readers of all zones.
+func (p *components) keepConnected(ctx context.Context) {
+	ticker := time.NewTicker(connectInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -280,22 +280,22 @@
 		}
 		for addr, other := range v.Peers {
 			if other.Distance <= place.SameRegion {
-				p.warmOne(ctx, addr)
+				p.connect(ctx, addr)
 			}
 		}
 		if !p.Source.Reading() {
 			continue
 		}
-		for _, addr := range p.Readers.Leads() {
-			p.warmOne(ctx, addr)
+		for _, addr := range p.Readers.RemoteReaders() {
+			p.connect(ctx, addr)
 		}
 	}
 }
 
-// warmOne opens a connection that isn't open. A node that can't be reached is tried
-// again; requests will tell as well.
-func (p *parts) warmOne(ctx context.Context, addr string) {
-	ctx, cancel := context.WithTimeout(ctx, warmTimeout)
+// connect opens a connection if none is open. It ignores failures: the next check tries again,
+// and requests to the node fail visibly.
+func (p *components) connect(ctx context.Context, addr string) {
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	_ = p.Client.Warm(ctx, addr)
 }
--- a/internal/mesh/node/reload.go
+++ b/internal/mesh/node/reload.go
@@ -14,40 +14,40 @@
 	"github.com/limpetdock/limpetdock/internal/mesh/settings"
 )
 
-// lookEvery is the pause between looks at the settings file, which may change
-// without a signal.
-const lookEvery = 2 * time.Second
+// pollInterval is the pause between checks of the settings file, which may change without a
+// signal.
+const pollInterval = 2 * time.Second
 
-// tunables are the parts that take changed settings over.
+// tunables are the components that accept changed settings.
 type tunables struct {
 	fx.In
 	Entry *entry.Entry
 	Guard *guard.Guard
 }
 
-// watcher takes over the settings that may change while a node runs. Others need
-// a restart; a file with anything wrong changes nothing.
-type watcher struct {
-	path  string
-	parts tunables
-	log   *decision.Log
-	// content is the file as last looked at.
+// settingsWatcher applies settings that may change while a node runs. Others require a
+// restart. A file with any error changes nothing.
+type settingsWatcher struct {
+	path     string
+	tunables tunables
+	log      *decision.Log
+	// content is the file as last read.
 	content []byte
-	inForce settings.Settings
+	current settings.Settings
 }
 
-func newWatcher(path string, s *settings.Settings, t tunables, log *decision.Log) *watcher {
+func newSettingsWatcher(path string, s *settings.Settings, t tunables, log *decision.Log) *settingsWatcher {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		// The next look reads it again, and finds it changed.
-		log.Trouble("settings can't be read", "error", err.Error())
+		// The next check reads it again and finds it changed.
+		log.Trouble("cannot read settings", "error", err.Error())
 	}
-	return &watcher{path: path, parts: t, log: log, content: content, inForce: *s}
+	return &settingsWatcher{path: path, tunables: t, log: log, content: content, current: *s}
 }
 
-// run looks at the file whenever hup tells, and every now and then, until ctx ends.
-func (w *watcher) run(ctx context.Context, hup <-chan os.Signal) {
-	ticker := time.NewTicker(lookEvery)
+// run checks the file on each signal from hup and every pollInterval, until ctx ends.
+func (w *settingsWatcher) run(ctx context.Context, hup <-chan os.Signal) {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		signalled := false
@@ -58,15 +58,15 @@
 		case <-ctx.Done():
 			return
 		}
-		w.look(signalled)
+		w.check(signalled)
 	}
 }
 
-func (w *watcher) look(signalled bool) {
+func (w *settingsWatcher) check(signalled bool) {
 	content, err := os.ReadFile(w.path)
 	if err != nil {
 		if signalled {
-			w.log.Trouble("settings kept, as the file can't be read", "error", err.Error())
+			w.log.Trouble("settings unchanged: cannot read the file", "error", err.Error())
 		}
 		return
 	}
@@ -79,14 +79,14 @@
 	w.content = content
 	next, err := settings.Parse(w.path, content)
 	if err != nil {
-		w.log.Trouble("settings refused, the former ones stay in force", "error", err.Error())
+		w.log.Trouble("settings refused, the previous ones stay in force", "error", err.Error())
 		return
 	}
-	w.parts.Entry.SetPrices(next.Tunable.Prices)
-	w.parts.Guard.SetFill(next.Tunable.Fill)
-	restart := next.Here != w.inForce.Here || next.Callers != w.inForce.Callers || next.Peers != w.inForce.Peers ||
-		next.Backend != w.inForce.Backend || next.Store != w.inForce.Store
-	w.inForce.Tunable = next.Tunable
+	w.tunables.Entry.SetPrices(next.Tunable.Prices)
+	w.tunables.Guard.SetFill(next.Tunable.Fill)
+	restart := next.Here != w.current.Here || next.Callers != w.current.Callers || next.Peers != w.current.Peers ||
+		next.Backend != w.current.Backend || next.Store != w.current.Store
+	w.current.Tunable = next.Tunable
 	w.log.Change("settings reloaded", "fill", next.Tunable.Fill, "zone_price", next.Tunable.Prices.ZonePerKB.String(),
 		"region_price", next.Tunable.Prices.RegionPerKB.String(), "other_changes_need_a_restart", restart)
 }
--- a/internal/mesh/node/reports.go
+++ b/internal/mesh/node/reports.go
@@ -12,20 +12,20 @@
 	"github.com/limpetdock/limpetdock/internal/mesh/reader"
 )
 
-// reports hands load reports of other nodes to the targets they are about.
-type reports struct {
+// reportDispatcher passes load reports of other nodes to the targets they are about.
+type reportDispatcher struct {
 	now clock.Clock
-	// byPeer finds the targets beside a node.
+	// byPeer maps the address of a node to the target beside it.
 	byPeer atomic.Pointer[map[string]*mesh.Target]
-	// heard is when a report last came, in nanoseconds since the start.
-	heard atomic.Int64
-	// listener is told of each report.
+	// lastReportAt is when the last report arrived, in nanoseconds since the start.
+	lastReportAt atomic.Int64
+	// listener is called with each report.
 	listener atomic.Pointer[func(addr string, l mesh.Load)]
 }
 
-func newReports(now clock.Clock) *reports { return &reports{now: now} }
+func newReportDispatcher(now clock.Clock) *reportDispatcher { return &reportDispatcher{now: now} }
 
-func (r *reports) setView(v *mesh.View) {
+func (r *reportDispatcher) setView(v *mesh.View) {
 	byPeer := map[string]*mesh.Target{}
 	for _, list := range v.Targets {
 		for _, t := range list {
@@ -35,19 +35,21 @@
 	r.byPeer.Store(&byPeer)
 }
 
-// onReport sets what is told of each report.
-func (r *reports) onReport(f func(addr string, l mesh.Load)) { r.listener.Store(&f) }
+// onReport sets the function to call with each report.
+func (r *reportDispatcher) onReport(f func(addr string, l mesh.Load)) { r.listener.Store(&f) }
 
-// aloneAfter is how long nothing comes from any node before the node takes itself
-// for alone: two of the reports that come in any case.
-const aloneAfter = 2*tellAnyway + tellAnyway/2
+// isolatedAfter is how long no report may arrive from any node before the node considers
+// itself isolated: the time of two regular reports and a half.
+const isolatedAfter = 2*regionReportInterval + regionReportInterval/2
 
-// alone says whether the node hears of no other.
-func (r *reports) alone() bool { return r.now()-time.Duration(r.heard.Load()) > aloneAfter }
+// isolated reports whether the node receives no reports from other nodes.
+func (r *reportDispatcher) isolated() bool {
+	return r.now()-time.Duration(r.lastReportAt.Load()) > isolatedAfter
+}
 
-// Reported takes the load of the backend server beside the node at addr.
-func (r *reports) Reported(addr string, l mesh.Load) {
-	r.heard.Store(int64(r.now()))
+// Reported records the load of the backend server beside the node at addr.
+func (r *reportDispatcher) Reported(addr string, l mesh.Load) {
+	r.lastReportAt.Store(int64(r.now()))
 	if listener := r.listener.Load(); listener != nil {
 		(*listener)(addr, l)
 	}
@@ -61,30 +63,30 @@
 }
 
 const (
-	// tellEvery is the least pause between two load reports to the nodes that use the
-	// backend server.
-	tellEvery = 60 * time.Millisecond
-	// tellAlways is the longest pause while anything runs or waits.
-	tellAlways = 250 * time.Millisecond
-	// tellAnyway is the longest pause between two reports to the whole region: they
-	// show that the node is there, its load, and what it has seen of the store.
-	tellAnyway = time.Second
+	// minReportInterval is the shortest pause between two load reports to the nodes that
+	// use the backend server.
+	minReportInterval = 60 * time.Millisecond
+	// reportCheckInterval is the longest pause between two checks whether a report is due.
+	reportCheckInterval = 250 * time.Millisecond
+	// regionReportInterval is the longest pause between two reports to the whole region.
+	// They show that the node is alive, its load and its store revision.
+	regionReportInterval = time.Second
 )
 
-// reporter is the guard as other nodes see it, with what its node has to do with
-// the store.
-type reporter struct {
+// reportingGuard is the guard as other nodes see it: its load reports include whether the
+// node reads the store.
+type reportingGuard struct {
 	*guard.Guard
 	reading atomic.Pointer[func() bool]
 }
 
-func newReporter(g *guard.Guard) *reporter { return &reporter{Guard: g} }
+func newReportingGuard(g *guard.Guard) *reportingGuard { return &reportingGuard{Guard: g} }
 
-// reads sets what says whether the node reads the store.
-func (r *reporter) reads(f func() bool) { r.reading.Store(&f) }
+// setReading sets the function that reports whether the node reads the store.
+func (r *reportingGuard) setReading(f func() bool) { r.reading.Store(&f) }
 
-// Load gives the load to tell other nodes.
-func (r *reporter) Load() mesh.Load {
+// Load returns the load to report to other nodes.
+func (r *reportingGuard) Load() mesh.Load {
 	l := r.Guard.Load()
 	if reading := r.reading.Load(); reading != nil {
 		l.Reading = (*reading)()
@@ -92,77 +94,78 @@
 	return l
 }
 
-// teller tells other nodes the load of the own backend server when it changes.
-type teller struct {
+// loadSender sends the load of the local backend server to other nodes when it changes.
+type loadSender struct {
 	wake   chan struct{}
 	urgent atomic.Bool
 }
 
-func newTeller() *teller { return &teller{wake: make(chan struct{}, 1)} }
+func newLoadSender() *loadSender { return &loadSender{wake: make(chan struct{}, 1)} }
 
-// changed notes that there is something to tell; urgent news go to all regions.
-func (t *teller) changed(urgent bool) {
+// changed records that there is a change to report; an urgent one goes to all regions.
+func (s *loadSender) changed(urgent bool) {
 	if urgent {
-		t.urgent.Store(true)
+		s.urgent.Store(true)
 	}
 	select {
-	case t.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run tells until ctx ends.
-func (t *teller) run(ctx context.Context, peers *peer.Server, r *reporter) {
-	told := telling{}
-	ticker := time.NewTicker(tellAlways)
+// run sends reports until ctx ends.
+func (s *loadSender) run(ctx context.Context, peers *peer.Server, r *reportingGuard) {
+	schedule := reportSchedule{}
+	ticker := time.NewTicker(reportCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-t.wake:
+		case <-s.wake:
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 		l := r.Load()
-		if reach, due := told.next(l, t.urgent.Swap(false), time.Now()); due {
+		if reach, due := schedule.next(l, s.urgent.Swap(false), time.Now()); due {
 			peers.Tell(l, reach)
 		}
-		clock.Sleep(ctx, tellEvery)
+		clock.Sleep(ctx, minReportInterval)
 	}
 }
 
-// telling is what was told last, and when.
-type telling struct {
+// reportSchedule decides when to send load reports; load is the last one sent.
+type reportSchedule struct {
 	load mesh.Load
-	// region is when all nodes of the region were last told.
+	// region is when the last report was sent to the whole region.
 	region time.Time
 }
 
-// next says whether a load is to be told now, and to whom.
+// next reports whether a load report is due now, and which nodes receive it.
 //
-// Changes of load go to those who use the backend server: told to a whole region of a
-// hundred nodes, they would be most of the bytes between its availability zones. News of the
-// store that a node was told itself wait for the next report to the region: told by all nodes
-// to all, each change in the store would be as many frames as the square of their number.
-func (t *telling) next(l mesh.Load, urgent bool, now time.Time) (reach peer.Reach, due bool) {
-	anyway := tellAnyway
+// Changes of load go to the nodes that use the backend server: sent to a whole region of a
+// hundred nodes, they would be most of the traffic between its availability zones. A store
+// revision received from another node waits for the next report to the region: if all nodes
+// reported it to all others, each change in the store would cause a number of messages that
+// is quadratic in the number of nodes.
+func (s *reportSchedule) next(l mesh.Load, urgent bool, now time.Time) (reach peer.Reach, due bool) {
+	interval := regionReportInterval
 	if l.Reading {
-		anyway = reader.ReportEvery
+		interval = reader.ReportEvery
 	}
-	changed := l != t.load
-	turned := l.Reading != t.load.Reading
-	news := turned || l.Revision != t.load.Revision
+	changed := l != s.load
+	readingChanged := l.Reading != s.load.Reading
+	storeChanged := readingChanged || l.Revision != s.load.Revision
 	switch {
-	case urgent, news && l.Reading:
+	case urgent, storeChanged && l.Reading:
 		reach = peer.Everybody
-	case turned, now.Sub(t.region) >= anyway:
+	case readingChanged, now.Sub(s.region) >= interval:
 		reach = peer.Region
 	case !changed:
 		return 0, false
 	}
-	t.load = l
+	s.load = l
 	if reach > peer.Users {
-		t.region = now
+		s.region = now
 	}
 	return reach, true
 }
--- a/internal/mesh/node/reports_test.go
+++ b/internal/mesh/node/reports_test.go
@@ -11,49 +11,49 @@
 	"github.com/limpetdock/limpetdock/internal/mesh/reader"
 )
 
-// A region has a hundred nodes and a target that is used by ten. Its load changes sixteen
-// times a second. Told to all of them each time, load reports would be most of the bytes
-// between zones; told too rarely, the others would take a node for gone or a target for idle.
-func TestWhoIsToldOfWhat(t *testing.T) {
+// A target in a region of a hundred nodes is used by ten, and its load changes sixteen times a
+// second. Sent to all nodes each time, load reports would be most of the traffic between
+// zones. Sent too rarely, the others would consider the node gone or the target idle.
+func TestLoadReportSchedule(t *testing.T) {
 	now := time.Now()
-	told := telling{}
+	schedule := reportSchedule{}
 	next := func(after time.Duration, l mesh.Load, urgent bool) (peer.Reach, bool) {
 		now = now.Add(after)
-		return told.next(l, urgent, now)
+		return schedule.next(l, urgent, now)
 	}
 	l := mesh.Load{Running: 1, Revision: 4}
 	reach, due := next(0, l, false)
 	require.True(t, due)
 	require.Equal(t, peer.Region, reach, "the first report")
 	l.Running = 2
-	reach, due = next(tellEvery, l, false)
+	reach, due = next(minReportInterval, l, false)
 	require.True(t, due)
 	require.Equal(t, peer.Users, reach, "a change of load")
-	_, due = next(tellEvery, l, false)
-	require.False(t, due, "nothing is new")
-	reach, due = next(tellAnyway, l, false)
+	_, due = next(minReportInterval, l, false)
+	require.False(t, due, "nothing has changed")
+	reach, due = next(regionReportInterval, l, false)
 	require.True(t, due)
-	require.Equal(t, peer.Region, reach, "after a second in any case")
+	require.Equal(t, peer.Region, reach, "at least once a second")
 	l.Revision = 5
-	reach, due = next(tellEvery, l, false)
+	reach, due = next(minReportInterval, l, false)
 	require.True(t, due)
-	require.Equal(t, peer.Users, reach, "a follower has news of the store: readers tell the region")
-	reach, due = next(tellAnyway-tellEvery, l, false)
-	require.True(t, due, "a node that heard of no reader learns of them within a second")
+	require.Equal(t, peer.Users, reach, "a follower received a store update: readers report to the region")
+	reach, due = next(regionReportInterval-minReportInterval, l, false)
+	require.True(t, due, "a node without a reader learns the revision within a second")
 	require.Equal(t, peer.Region, reach)
 	l.Reading = true
-	reach, _ = next(tellEvery, l, false)
+	reach, _ = next(minReportInterval, l, false)
 	require.Equal(t, peer.Everybody, reach, "a node begins to read the store")
 	l.Revision = 6
-	reach, _ = next(tellEvery, l, false)
-	require.Equal(t, peer.Everybody, reach, "a reader has news of the store")
+	reach, _ = next(minReportInterval, l, false)
+	require.Equal(t, peer.Everybody, reach, "a reader has read a store update")
 	reach, due = next(reader.ReportEvery, l, false)
-	require.True(t, due, "a reader shows that it is there")
+	require.True(t, due, "a reader reports that it is alive")
 	require.Equal(t, peer.Region, reach)
 	l.Reading = false
-	reach, _ = next(tellEvery, l, false)
-	require.Equal(t, peer.Region, reach, "a reader that the store turns away says so at once")
+	reach, _ = next(minReportInterval, l, false)
+	require.Equal(t, peer.Region, reach, "a reader refused by the store reports it at once")
 	l.Leaving = true
-	reach, _ = next(tellEvery, l, true)
-	require.Equal(t, peer.Everybody, reach, "urgent news")
+	reach, _ = next(minReportInterval, l, true)
+	require.Equal(t, peer.Everybody, reach, "an urgent report")
 }
--- a/internal/mesh/node/stop.go
+++ b/internal/mesh/node/stop.go
@@ -5,53 +5,52 @@
 )
 
 const (
-	// leastStop is how long a stopping node serves on at least: the platform takes
-	// it out after two missed readiness checks a second apart, and its callers open
+	// minStopTime is how long a stopping node keeps serving at least: the platform
+	// removes it after two failed readiness checks a second apart, and callers open
 	// connections until then.
-	leastStop = 2500 * time.Millisecond
-	// guardStop is how long its backend server, which runs on, still takes requests
-	// of other nodes: they would find it idle otherwise while the own callers leave.
-	guardStop = 1500 * time.Millisecond
-	// stopMargin is kept off the grace, after which the process is killed.
+	minStopTime = 2500 * time.Millisecond
+	// guardStopDelay is how long the guard keeps admitting requests of other nodes. The
+	// backend server runs on and would be idle while the node's own callers leave.
+	guardStopDelay = 1500 * time.Millisecond
+	// stopMargin is reserved at the end of the grace, after which the process is killed.
 	stopMargin = 400 * time.Millisecond
-	// stopEvery is the pause between looks whether everything has ended.
-	stopEvery = 20 * time.Millisecond
-	// flushWithin bounds the wait for the last lines of the log.
-	flushWithin = 50 * time.Millisecond
+	// stopPollInterval is the pause between checks whether all work has ended.
+	stopPollInterval = 20 * time.Millisecond
+	// flushTimeout bounds the wait for the last lines of the log.
+	flushTimeout = 50 * time.Millisecond
 )
 
-// stop ends the node without cutting off a request: other nodes soon
-// send no more, callers are told to use another connection with their next answer, and what is
-// in flight ends first, for as long as the grace lasts. Requests that could
-// outlast it are refused.
-func (p *parts) stop() {
+// stop stops the node without aborting requests: other nodes stop sending after a short time,
+// callers are told to use another connection in their next response, and requests in flight
+// end first, for as long as the grace lasts. Requests that could outlast it are refused.
+func (p *components) stop() {
 	began := time.Now()
 	p.Log.Change("stopping", "active", p.Front.Active(), "guard_active", p.Guard.Active())
 	p.Admin.stopping.Store(true)
-	guardStops := time.AfterFunc(guardStop, p.Guard.Stop)
-	defer guardStops.Stop()
+	guardTimer := time.AfterFunc(guardStopDelay, p.Guard.Stop)
+	defer guardTimer.Stop()
 	p.Front.Drain()
 	p.Peers.Stop()
 	limit := p.Settings.StopGrace - stopMargin
 	p.Entry.Stop(p.Now() + limit)
 	for time.Since(began) < limit {
-		time.Sleep(stopEvery)
-		if time.Since(began) >= leastStop && allEnded(p.guardIdle, p.Peers.Delivered, p.Front.Finish) {
+		time.Sleep(stopPollInterval)
+		if time.Since(began) >= minStopTime && allEnded(p.guardIdle, p.Peers.Delivered, p.Front.Finish) {
 			break
 		}
 	}
 	p.Log.Change("stopped", "active", p.Front.Active(), "guard_active", p.Guard.Active(), "took_ms", time.Since(began).Milliseconds())
-	p.Log.Flush(flushWithin)
+	p.Log.Flush(flushTimeout)
 	p.Front.Close()
 	p.Peers.Close()
 	p.Backend.Close()
 }
 
-func (p *parts) guardIdle() bool { return p.Guard.Active() == 0 }
+func (p *components) guardIdle() bool { return p.Guard.Active() == 0 }
 
-// allEnded asks in order whether everything has ended, up to the first that hasn't. What
-// stops taking requests when it is asked has to come last: until the process ends,
-// callers get no answer from it.
+// allEnded calls its arguments in order until one returns false, and reports whether all
+// returned true. A function that stops accepting requests as a side effect must come last:
+// callers get no response from then on until the process ends.
 func allEnded(ended ...func() bool) bool {
 	for _, f := range ended {
 		if !f() {
--- a/internal/mesh/node/stop_test.go
+++ b/internal/mesh/node/stop_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against callers that get no answer while a stopping node waits for something else.
-func TestCallersAreServedUntilEverythingElseHasEnded(t *testing.T) {
+// Guards against callers that get no response while a stopping node waits for other work.
+func TestCallersAreServedUntilAllElseHasEnded(t *testing.T) {
 	var refused, idle bool
 	finish := func() bool {
 		refused = true
--- a/internal/mesh/node/store_calls.go
+++ b/internal/mesh/node/store_calls.go
@@ -8,55 +8,55 @@
 	"github.com/limpetdock/limpetdock/internal/metrics"
 )
 
-// StoreCause is why a call to the platform's store is made.
+// StoreCause is the reason for a call to the platform's store.
 type StoreCause string
 
-// The causes.
+// The causes of calls.
 const (
-	// StoreLook looks for other nodes at one that knows nothing yet. The answer may be
-	// old, which costs less.
+	// StoreDiscover looks up other nodes for a node that has no state. The answer may be
+	// stale, which costs less.
 	StoreLook StoreCause = "look"
-	// StoreStart reads everything at a node that knows nothing yet.
+	// StoreInitialRead reads everything on a node that has no state.
 	StoreStart StoreCause = "start"
-	// StoreReread reads everything again, where a watch can't tell what has changed.
+	// StoreReread reads everything again when a watch can't deliver the changes.
 	StoreReread StoreCause = "reread"
 	// StoreWatch waits for changes.
 	StoreWatch StoreCause = "watch"
-	// StoreCatchUp asks at once for changes that another node knows of.
+	// StoreCatchUp requests changes reported by another node, without waiting.
 	StoreCatchUp StoreCause = "catch_up"
-	// StoreRetry follows a call that failed.
+	// StoreRetry follows a failed call.
 	StoreRetry StoreCause = "retry"
-	// StoreProbe finds out whether a store that is away answers again. The answer may be
-	// old, which costs less.
+	// StoreProbe checks whether an unavailable store answers again. The answer may be
+	// stale, which costs less.
 	StoreProbe StoreCause = "probe"
 )
 
 // StoreCauses are all causes.
 var StoreCauses = []StoreCause{StoreLook, StoreStart, StoreReread, StoreWatch, StoreCatchUp, StoreRetry, StoreProbe}
 
-// StoreCall is a call to the platform's store that has ended.
+// StoreCall is a completed call to the platform's store.
 type StoreCall struct {
 	Cause StoreCause
 	// Query is the call's path and query.
 	Query string
-	// Took is the time until the call ended, and AnswerAfter that until its answer
-	// began; 0 says that none did.
+	// Took is the duration of the call, and AnswerAfter the time until the first byte of
+	// the answer, 0 if there was none.
 	Took, AnswerAfter time.Duration
-	// Bytes is how much of the answer's body came.
+	// Bytes is how much of the answer's body was received.
 	Bytes int
-	// Err is nil for an answer that could be used.
+	// Err is nil if the answer was usable.
 	Err error
 }
 
-// largeAnswer is the size from which on an answer has a line of its own, in bytes: it
-// takes a noticeable time on a slow link.
-const largeAnswer = 64 << 10
+// largeAnswerBytes is the size, in bytes, from which an answer is logged: on a slow link it
+// takes a noticeable time.
+const largeAnswerBytes = 64 << 10
 
 // storeCalls measures and logs calls to the store.
 type storeCalls struct {
 	log     *decision.Log
 	metrics *metrics.Metrics
-	// received counts the bytes of answers, also of those that were given up.
+	// received counts the bytes of answers, including aborted ones.
 	received atomic.Uint64
 }
 
@@ -64,8 +64,8 @@
 	return &storeCalls{log: log, metrics: m}
 }
 
-// observe takes a call that has ended. Calls are few; failed ones come at most every
-// tenth of a second.
+// observe records a completed call. It may log every failure: calls are few, and failed ones
+// are at least a tenth of a second apart.
 func (s *storeCalls) observe(c StoreCall) {
 	s.received.Add(uint64(c.Bytes))
 	if c.AnswerAfter > 0 {
@@ -78,7 +78,7 @@
 	switch {
 	case c.Err != nil:
 		s.log.Trouble("call to the store failed", append(fields, "error", c.Err.Error())...)
-	case c.Bytes >= largeAnswer:
+	case c.Bytes >= largeAnswerBytes:
 		s.log.Change("large answer of the store", fields...)
 	}
 }
--- a/internal/mesh/node/store_calls_test.go
+++ b/internal/mesh/node/store_calls_test.go
@@ -14,9 +14,9 @@
 	"github.com/limpetdock/limpetdock/internal/metrics"
 )
 
-// Guards against failures of the store after the first that leave no trace of how far
-// an answer came.
-func TestEachFailedCallToTheStoreIsLoggedWithItsProgress(t *testing.T) {
+// Guards against repeated failures of the store that are not logged with the number of bytes
+// received.
+func TestEachFailedStoreCallIsLoggedWithBytesReceived(t *testing.T) {
 	var out bytes.Buffer
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -33,8 +33,8 @@
 	require.EqualValues(t, 1_400_010, calls.received.Load())
 }
 
-// Guards against metrics of the node that a monitor with a bounded page doesn't see.
-func TestNodeMetricsFitASmallPage(t *testing.T) {
+// Guards against node metrics that exceed the page size of a monitor.
+func TestNodeRegistryLeavesOutLabelledMetrics(t *testing.T) {
 	m := metrics.New()
 	m.Gauge("limpetdock_a", "A gauge.", func() float64 { return 1 })
 	m.Answered("orders", "", time.Second)
