--- a/internal/entry/account.go
+++ b/internal/entry/account.go
@@ -8,20 +8,21 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// accounts are the retry budgets of services at this node. They outlive
-// configurations. Safe for concurrent use.
-type accounts struct {
-	mu   sync.RWMutex
-	rows map[string]*budget.Retry
+// retryBudgets holds the retry budgets of the services at this node. The budgets are kept when
+// the configuration changes. Safe for concurrent use.
+type retryBudgets struct {
+	mu        sync.RWMutex
+	byService map[string]*budget.Retry
 }
 
-// setView opens accounts for new services and closes those of former ones.
-func (a *accounts) setView(v *pick.View) {
+// setView creates budgets for new services and removes those of services that are no longer
+// configured.
+func (a *retryBudgets) setView(v *pick.View) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	rows := make(map[string]*budget.Retry, len(v.Services))
 	for name, s := range v.Services {
-		row := a.rows[name]
+		row := a.byService[name]
 		if row == nil {
 			row = budget.NewRetry(s.RetryPercent)
 		}
@@ -29,46 +30,46 @@
 		row.SetHedgePercent(s.HedgePercent)
 		rows[name] = row
 	}
-	a.rows = rows
+	a.byService = rows
 }
 
-// of gives the account of a service; one that just left the configuration has
-// none left to retry with.
-func (a *accounts) of(service string) *budget.Retry {
+// forService returns the retry budget of a service, or an empty budget for a service that was
+// just removed from the configuration.
+func (a *retryBudgets) forService(service string) *budget.Retry {
 	a.mu.RLock()
 	defer a.mu.RUnlock()
-	if row := a.rows[service]; row != nil {
+	if row := a.byService[service]; row != nil {
 		return row
 	}
 	return budget.NewRetry(0)
 }
 
-// RetryUse is what the retry budget of a service granted and denied.
+// RetryUse counts what the retry budget of a service granted and denied.
 type RetryUse struct {
 	Service         string
 	Granted, Denied uint64
 	Hedges          budget.HedgeCounts
 }
 
-// RetryUses gives the use of every retry budget, in no particular order.
+// RetryUses returns the use of every retry budget, in no particular order.
 func (e *Entry) RetryUses() []RetryUse {
-	e.accounts.mu.RLock()
-	defer e.accounts.mu.RUnlock()
-	uses := make([]RetryUse, 0, len(e.accounts.rows))
-	for name, row := range e.accounts.rows {
+	e.retryBudgets.mu.RLock()
+	defer e.retryBudgets.mu.RUnlock()
+	uses := make([]RetryUse, 0, len(e.retryBudgets.byService))
+	for name, row := range e.retryBudgets.byService {
 		spent, denied := row.Counts()
 		uses = append(uses, RetryUse{name, spent, denied, row.HedgeCounts()})
 	}
 	return uses
 }
 
-// mayGoOn says whether the budgets let a request go on to another target after
-// err, and pays for it. A request that may have run costs a retry, of the service
-// and of the call chain; one that was refused costs a part of one, and one that
-// no backend server was asked about nothing: that bounds itself. Nor does an
-// attempt cost anything that named an older incarnation: after a restart each
-// target refuses one of every entry, and tells its new name.
-func (e *Entry) mayGoOn(x *request, err *kind.Error) bool {
+// allowNextAttempt reports whether the budgets allow another attempt after err, and charges
+// them for it. A request that may have run is charged one retry of the service and one of the
+// call chain. A request that a guard refused is charged a fraction of a retry. An attempt that
+// reached no backend server is not charged, because such attempts are bounded anyway. Nor is
+// an attempt that named an older incarnation: after a restart each target refuses one attempt
+// of every entry for that reason, and reports its new incarnation.
+func (e *Entry) allowNextAttempt(x *request, err *kind.Error) bool {
 	if err.Free() {
 		return true
 	}
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -15,61 +15,64 @@
 )
 
 const (
-	// maxHeldAnswer is how much of an answer is held back until it is whole.
-	maxHeldAnswer = 64 << 10
-	// copySize is the size of the buffer that a long answer streams through.
+	// maxBufferedAnswer is how many bytes of an answer are buffered before any are sent.
+	maxBufferedAnswer = 64 << 10
+	// copySize is the size of the buffer for copying a streamed answer.
 	copySize = 32 << 10
-	// holdFor is how long an answer without a length is held back: a stream of
-	// events must reach the caller as it comes.
-	holdFor = 25 * time.Millisecond
+	// maxBufferTime is how long an answer without a length is buffered. It is short because
+	// streamed events must reach the caller without a noticeable delay.
+	maxBufferTime = 25 * time.Millisecond
 )
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, copySize); return &b }}
 
-// deliver writes a backend server's answer to the caller. A small answer is
-// held back until it is whole; one that breaks off before is an error, and
-// nothing has been written. A longer one that breaks off aborts the caller's
-// connection, so that it can't be taken for whole.
+// deliver writes a backend server's answer to the caller. A small answer is buffered until it
+// is complete; if it is truncated, deliver returns an error and writes nothing. If a longer
+// answer is truncated, deliver aborts the caller's connection, so that the caller can't
+// mistake the part for a complete answer.
 func deliver(w http.ResponseWriter, resp *http.Response) *kind.Error {
-	r := hold(resp)
+	r := bufferSmall(resp)
 	if r.err != nil {
 		return r.err
 	}
 	return r.deliver(w)
 }
 
-// reply is what one copy of a request came to: an answer or an error.
+// reply is the result of one copy of a request: an answer or an error.
 type reply struct {
 	resp *http.Response
-	// held is the whole body of a small answer; nil when the body is still to be read.
-	held *bytes.Buffer
-	err  *kind.Error
-	// cancel, if there is one, ends the exchange.
+	// buffered is the complete body of a small answer; nil if the body is still to be read.
+	buffered *bytes.Buffer
+	err      *kind.Error
+	// cancel ends the exchange; it may be nil.
 	cancel context.CancelFunc
 }
 
-// hold reads a small answer whole. A longer one is left to be streamed.
-func hold(resp *http.Response) reply {
-	if resp.ContentLength < 0 || resp.ContentLength > maxHeldAnswer {
+// bufferSmall reads a small answer completely. A longer one is left to be streamed.
+func bufferSmall(resp *http.Response) reply {
+	if resp.ContentLength < 0 || resp.ContentLength > maxBufferedAnswer {
 		return reply{resp: resp}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	held := &bytes.Buffer{}
 	held.Grow(int(resp.ContentLength))
 	if _, err := io.Copy(held, resp.Body); err != nil {
-		return reply{err: kind.New(kind.BackendBroken, "the answer broke off").Because(err)}
+		return reply{err: kind.New(kind.BackendBroken, "the answer was truncated").Because(err)}
 	}
-	return reply{resp: resp, held: held}
+	return reply{resp: resp, buffered: held}
 }
 
-// good says whether the reply is an answer that holds against one still to come.
-func (r reply) good() bool { return r.err == nil && r.resp.StatusCode < http.StatusInternalServerError }
+// usable reports whether the reply is an answer without a server error, so that no other copy
+// needs to be waited for.
+func (r reply) usable() bool {
+	return r.err == nil && r.resp.StatusCode < http.StatusInternalServerError
+}
 
-// refused says whether the target was too full for the request.
+// refused reports whether the target refused the request because it was overloaded.
 func (r reply) refused() bool { return r.err != nil && r.err.Kind == kind.Overloaded }
 
-// drop ends the exchange without using its answer.
-func (r reply) drop() {
+// discard ends the exchange without using its answer.
+func (r reply) discard() {
 	if r.cancel != nil {
 		r.cancel()
 	}
@@ -80,57 +83,58 @@
 
 // deliver writes the answer to the caller.
 func (r reply) deliver(w http.ResponseWriter) *kind.Error {
-	defer r.drop()
-	if r.held == nil {
+	defer r.discard()
+	if r.buffered == nil {
 		return deliverStream(w, r.resp)
 	}
 	writeHeader(w, r.resp)
-	if _, err := w.Write(r.held.Bytes()); err != nil {
+	if _, err := w.Write(r.buffered.Bytes()); err != nil {
 		abort()
 	}
 	return nil
 }
 
 func deliverStream(w http.ResponseWriter, resp *http.Response) *kind.Error {
-	h := &holder{w: w, resp: resp}
+	h := &delayedWriter{w: w, resp: resp}
 	if resp.ContentLength < 0 && !isEventStream(resp) {
-		h.timer = time.AfterFunc(holdFor, h.release)
+		h.timer = time.AfterFunc(maxBufferTime, h.lockAndFlush)
 	} else {
-		h.release()
+		h.lockAndFlush()
 	}
 	buf := buffers.Get().(*[]byte)
 	defer buffers.Put(buf)
 	_, err := io.CopyBuffer(struct{ io.Writer }{h}, struct{ io.Reader }{resp.Body}, *buf)
-	return h.end(err)
+	return h.finish(err)
 }
 
 func isEventStream(resp *http.Response) bool {
 	return strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-var errCallerGone = errors.New("the caller has gone")
+var errCallerDisconnected = errors.New("the caller has disconnected")
 
-// holder holds an answer back until it is whole, too long, or held long enough.
-type holder struct {
+// delayedWriter buffers an answer until it is complete, exceeds maxBufferedAnswer, or
+// maxBufferTime has passed.
+type delayedWriter struct {
 	mu       sync.Mutex
 	w        http.ResponseWriter
 	resp     *http.Response
 	timer    *time.Timer
-	held     []byte
-	released bool
+	buffered []byte
+	flushed  bool
 	failed   bool
 }
 
-func (h *holder) Write(p []byte) (int, error) {
+func (h *delayedWriter) Write(p []byte) (int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.released && len(h.held)+len(p) <= maxHeldAnswer {
-		h.held = append(h.held, p...)
+	if !h.flushed && len(h.buffered)+len(p) <= maxBufferedAnswer {
+		h.buffered = append(h.buffered, p...)
 		return len(p), nil
 	}
 	h.flush()
 	if h.failed {
-		return 0, errCallerGone
+		return 0, errCallerDisconnected
 	}
 	n, err := h.w.Write(p)
 	if err == nil && h.resp.ContentLength < 0 {
@@ -139,38 +143,38 @@
 	return n, err
 }
 
-func (h *holder) release() {
+func (h *delayedWriter) lockAndFlush() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.flush()
 }
 
-// flush writes what is held. The mutex is held.
-func (h *holder) flush() {
-	if h.released {
+// flush writes the buffered bytes. The caller must hold mu.
+func (h *delayedWriter) flush() {
+	if h.flushed {
 		return
 	}
-	h.released = true
+	h.flushed = true
 	writeHeader(h.w, h.resp)
-	if len(h.held) == 0 {
+	if len(h.buffered) == 0 {
 		return
 	}
-	if _, err := h.w.Write(h.held); err != nil {
+	if _, err := h.w.Write(h.buffered); err != nil {
 		h.failed = true
 	}
-	h.held = nil
+	h.buffered = nil
 }
 
-// end finishes the answer. An error before anything was written is returned.
-func (h *holder) end(err error) *kind.Error {
+// finish completes the answer. It returns the error if nothing was written before.
+func (h *delayedWriter) finish(err error) *kind.Error {
 	if h.timer != nil {
 		h.timer.Stop()
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if err != nil && !h.released {
-		h.released = true
-		return kind.New(kind.BackendBroken, "the answer broke off").Because(err)
+	if err != nil && !h.flushed {
+		h.flushed = true
+		return kind.New(kind.BackendBroken, "the answer was truncated").Because(err)
 	}
 	if err != nil {
 		abort()
@@ -182,7 +186,7 @@
 	return nil
 }
 
-// abort closes the caller's connection without a clean end.
+// abort closes the caller's connection without completing the response.
 func abort() { panic(http.ErrAbortHandler) }
 
 func writeHeader(w http.ResponseWriter, resp *http.Response) {
--- a/internal/entry/background.go
+++ b/internal/entry/background.go
@@ -17,18 +17,19 @@
 )
 
 const (
-	// warmEvery is the mean pause between two connections opened ahead of use. At the
-	// target size an entry has some 180 near targets and is warm after 40 s.
-	warmEvery = 200 * time.Millisecond
-	// warmTimeout bounds opening one.
+	// warmUpInterval is the mean interval between connections opened ahead of use. At the
+	// target size an entry has some 180 near targets, and has connected to all of them after
+	// 40 s.
+	warmUpInterval = 200 * time.Millisecond
+	// warmTimeout bounds opening one connection.
 	warmTimeout = 2 * time.Second
-	// probeEvery is the pause between two tries to probe; the measuring budget
-	// decides how many of them are made.
-	probeEvery = 25 * time.Millisecond
-	// probeTimeout bounds one probe: what takes longer is too old to be of use.
+	// probeInterval is the mean interval between attempts to probe; the measuring budget
+	// decides how many of them send a probe.
+	probeInterval = 25 * time.Millisecond
+	// probeTimeout bounds one probe. A later answer would be too old to be of use.
 	probeTimeout = 500 * time.Millisecond
-	// probeAfter is how long after its last request a service is still probed.
-	probeAfter = time.Second
+	// probeActiveWindow is how long after its last request a service is still probed.
+	probeActiveWindow = time.Second
 )
 
 // Run opens connections ahead of use and sends probes until ctx ends.
@@ -39,22 +40,22 @@
 	wg.Wait()
 }
 
-// warmUp opens a connection to each near target once, one after the other at
-// random times: after a zone has come back, all entries together would
-// otherwise open thousands within a second.
+// warmUp opens one connection to each near target, one at a time at random intervals.
+// Otherwise all entries together would open thousands of connections within a second after a
+// zone has recovered.
 func (e *Entry) warmUp(ctx context.Context) {
 	warm := map[string]bool{}
-	for clock.Sleep(ctx, warmEvery/2+rand.N(warmEvery)) {
+	for clock.Sleep(ctx, warmUpInterval/2+rand.N(warmUpInterval)) {
 		v := e.view.Load()
-		if t := coldest(v, warm); t != nil {
+		if t := nextUnconnected(v, warm); t != nil {
 			warm[t.Guard] = true
-			e.open(ctx, v.Config.Fleet(), t)
+			e.openConnection(ctx, v.Config.Fleet(), t)
 		}
 	}
 }
 
-// coldest gives a near target that no connection was opened to, or nil.
-func coldest(v *pick.View, warm map[string]bool) *pick.Target {
+// nextUnconnected returns a near target to which no connection was opened yet, or nil.
+func nextUnconnected(v *pick.View, warm map[string]bool) *pick.Target {
 	if v == nil {
 		return nil
 	}
@@ -68,10 +69,10 @@
 	return nil
 }
 
-// open sends a request for no service, which any guard refuses at once. The
-// refusal names the guard's incarnation, so that the first at-most-once
-// attempt there isn't refused for naming none.
-func (e *Entry) open(ctx context.Context, fleetName string, t *pick.Target) {
+// openConnection sends a request for no service, which any guard refuses at once. The refusal
+// contains the guard's incarnation, so the first at-most-once attempt there isn't refused for
+// lacking one.
+func (e *Entry) openConnection(ctx context.Context, fleetName string, t *pick.Target) {
 	ctx, cancel := context.WithTimeout(ctx, warmTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Guard+"/", nil)
@@ -83,17 +84,17 @@
 	if err != nil {
 		return
 	}
-	learn(t, resp)
-	// The connection is kept only if the answer was read to its end.
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeldAnswer))
+	recordIdentity(t, resp)
+	// The connection is reused only if the answer was read completely.
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedAnswer))
 	_ = resp.Body.Close()
 }
 
-// probe probes the targets of services that choose by probes and have traffic,
+// probe sends probes to the targets of services that use the probe policy and have traffic,
 // those with the oldest reports first.
 func (e *Entry) probe(ctx context.Context, wg *sync.WaitGroup) {
 	turn := 0
-	for clock.Sleep(ctx, probeEvery/2+rand.N(probeEvery)) {
+	for clock.Sleep(ctx, probeInterval/2+rand.N(probeInterval)) {
 		v := e.view.Load()
 		if v == nil {
 			continue
@@ -105,11 +106,11 @@
 	}
 }
 
-// probeTarget gives the target to probe next, or nil if none needs to be.
+// probeTarget returns the target to probe next, or nil if there is none.
 func probeTarget(v *pick.View, now time.Duration, turn int) *pick.Target {
 	var due []*pick.Service
 	for _, s := range v.Services {
-		if s.Policy == fleet.PolicyProbe && s.AskedWithin(now, probeAfter) {
+		if s.Policy == fleet.PolicyProbe && s.AskedWithin(now, probeActiveWindow) {
 			due = append(due, s)
 		}
 	}
@@ -130,8 +131,8 @@
 	return e.measuring.AllowRequest(e.peers.Cost(&wire.Probe{}), t.Distance == place.OtherRegion)
 }
 
-// probeOne asks one target. No answer is no evidence: the peer may have been
-// over its own budget. Requests will tell.
+// probeOne probes one target. A missing answer isn't counted against the target, because the
+// peer may have exceeded its own measuring budget.
 func (e *Entry) probeOne(ctx context.Context, t *pick.Target) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/entry/budget_test.go
+++ b/internal/entry/budget_test.go
@@ -26,23 +26,23 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// patientPeers say that every request asked about still runs.
-type patientPeers struct{}
+// runningPeers reports that every queried request is still running.
+type runningPeers struct{}
 
-func (patientPeers) CallNew(context.Context, string, wire.Message) (wire.Message, error) {
+func (runningPeers) CallNew(context.Context, string, wire.Message) (wire.Message, error) {
 	return &wire.Sealed{State: wire.AttemptRunning}, nil
 }
 
 // Call answers a probe.
-func (patientPeers) Call(context.Context, string, wire.Message) (wire.Message, error) {
+func (runningPeers) Call(context.Context, string, wire.Message) (wire.Message, error) {
 	return &wire.Load{Running: 1, Slots: 4, ServiceUs: 5000}, nil
 }
 
 const probeCost = 100
 
-func (patientPeers) Cost(wire.Message) int { return probeCost }
+func (runningPeers) Cost(wire.Message) int { return probeCost }
 
-// fixture is an entry, and guards with backend servers that run a handler.
+// fixture is an entry, and guards whose backend servers run a handler.
 type fixture struct {
 	entry  *entry.Entry
 	view   *pick.View
@@ -54,7 +54,7 @@
 	budgets []*budget.Measuring
 }
 
-// newFixture declares one service with three targets and a team, changed by change.
+// newFixture declares one service with three targets and a team, modified by change.
 func newFixture(t *testing.T, change func(*fleet.Fleet), backend http.HandlerFunc) *fixture {
 	t.Helper()
 	f := fleet.Fleet{
@@ -74,7 +74,7 @@
 	b := &fixture{view: &pick.View{Config: c, Here: pick.Place{VM: "vm-0", Zone: "a", Region: "r"}, Nodes: 4}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/healthz" {
-			// The gates start at once: nothing runs yet.
+			// The gates start without delay, as no request is running.
 			_, _ = io.WriteString(w, `{"state":"live","running":0}`)
 			return
 		}
@@ -96,7 +96,7 @@
 		_, err := g.Health(t.Context(), "/healthz")
 		require.NoError(t, err)
 		front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			// As at a node's port, strangers learn nothing.
+			// As on a node's port, a sender of another fleet gets no information.
 			if r.Header.Get(headers.Fleet) != c.Fleet() {
 				w.WriteHeader(http.StatusForbidden)
 				return
@@ -114,13 +114,13 @@
 	b.view.Services = map[string]*pick.Service{"orders": s}
 	b.measuring = budget.NewMeasuring(now)
 	b.measuring.SetBudget(c.Index.Fleet.Budget)
-	b.entry = entry.New(entry.Config{Measuring: b.measuring, Peers: patientPeers{}, Observer: nobody{}, Now: now})
+	b.entry = entry.New(entry.Config{Measuring: b.measuring, Peers: runningPeers{}, Observer: discardObserver{}, Now: now})
 	b.entry.SetView(b.view)
 	t.Cleanup(b.entry.Close)
 	return b
 }
 
-// get sends one request of a caller.
+// get sends one caller's request.
 func (b *fixture) get(header ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodGet, "/x", nil)
 	r.Header.Set(headers.Service, "orders")
@@ -133,17 +133,17 @@
 }
 
 func ok(w http.ResponseWriter, r *http.Request) {
-	// What a backend server says of load is not the guard's word.
+	// The entry must ignore a load report that a backend server sends instead of the guard.
 	w.Header().Set(headers.Load, "0,0,99,1,1")
 	w.Header().Set("X-Seen", r.Header.Get(headers.RetriesLeft))
 }
 
-func breakOff(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abortExchange(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// A database is gone and every backend server breaks off each request. Retries
-// would triple the load of servers that are in trouble already.
-func TestRetriesAreAShareOfTraffic(t *testing.T) {
-	b := newFixture(t, func(f *fleet.Fleet) { f.Services[0].RetryPercent = 10 }, breakOff)
+// All backend servers abort every request, for example because a database is down. Unbounded
+// retries would triple the load of these servers.
+func TestRetriesAreLimitedToShareOfTraffic(t *testing.T) {
+	b := newFixture(t, func(f *fleet.Fleet) { f.Services[0].RetryPercent = 10 }, abortExchange)
 	const requests = 200
 	for range requests {
 		w := b.get()
@@ -151,30 +151,30 @@
 		require.NotEmpty(t, w.Header().Get("Retry-After"))
 	}
 	most := int64(requests*11/10 + 10)
-	require.LessOrEqual(t, b.runs.Load(), most, "a tenth, and the reserve")
-	require.Greater(t, b.runs.Load(), most-5, "and no less than was paid for")
+	require.LessOrEqual(t, b.runs.Load(), most, "10 % of the requests, and the reserve")
+	require.Greater(t, b.runs.Load(), most-5, "nearly the whole budget is used")
 	uses := b.entry.RetryUses()
 	require.EqualValues(t, b.runs.Load()-requests, uses[0].Granted)
 	require.Positive(t, uses[0].Denied)
 }
 
-// A call that comes late in a chain must not be tried again by every level above it.
-func TestRetriesOfAChainAreHandedDown(t *testing.T) {
+// Guards against a request deep in a call chain that is retried at every level above it.
+func TestCallChainPassesRemainingRetriesOn(t *testing.T) {
 	b := newFixture(t, func(*fleet.Fleet) {}, ok)
 	for sent, want := range map[string]string{"": "2", "1": "1", "0": "0", "77": "2"} {
 		require.Equal(t, want, b.get(headers.RetriesLeft, sent).Header().Get("X-Seen"), sent)
 	}
-	b = newFixture(t, func(*fleet.Fleet) {}, breakOff)
-	for left, want := range map[string]int64{"0": 1, "1": 2, "2": 3} {
+	b = newFixture(t, func(*fleet.Fleet) {}, abortExchange)
+	for remaining, want := range map[string]int64{"0": 1, "1": 2, "2": 3} {
 		b.runs.Store(0)
-		b.get(headers.RetriesLeft, left)
-		require.Equal(t, want, b.runs.Load(), left)
+		b.get(headers.RetriesLeft, remaining)
+		require.Equal(t, want, b.runs.Load(), remaining)
 	}
 }
 
-// All targets are full. Each request could be offered to all three, three times
-// the work for the same answer; it gets its answer, with a hint, at once.
-func TestHopsAfterRefusalsAreBoundedUnderOverload(t *testing.T) {
+// All targets are full. Sending each request to all three would triple the work for the same
+// answer; it must be refused at once, with a Retry-After header.
+func TestRetriesAfterRefusalsAreBoundedUnderOverload(t *testing.T) {
 	block := make(chan struct{})
 	b := newFixture(t, func(f *fleet.Fleet) {
 		f.Services[0].Queue = 1
@@ -200,12 +200,12 @@
 		require.NotEmpty(t, w.Header().Get("Retry-After"))
 	}
 	hops := b.refusals() - before - requests
-	t.Logf("%d refused requests were offered to another target %d times; without a budget it would be %d", requests, hops, 2*requests)
+	t.Logf("%d refused requests were sent to another target %d times; without a budget it would be %d", requests, hops, 2*requests)
 	require.LessOrEqual(t, hops, uint64(requests*4/10+40))
 	require.EqualValues(t, 3, b.runs.Load(), "none of the refused ran")
 }
 
-// refusals counts what the guards refused.
+// refusals returns how many requests the guards refused.
 func (b *fixture) refusals() (n uint64) {
 	for _, g := range b.guards {
 		n += g.Load().Refused
@@ -213,7 +213,7 @@
 	return n
 }
 
-func TestOverLimitIsRefusedAtOnce(t *testing.T) {
+func TestRequestOverLimitIsRefusedAtOnce(t *testing.T) {
 	inside, block := make(chan struct{}), make(chan struct{})
 	b := newFixture(t, func(f *fleet.Fleet) { f.Teams[0].InFlight = 1 }, func(http.ResponseWriter, *http.Request) {
 		close(inside)
@@ -236,25 +236,25 @@
 	require.EqualValues(t, 1, b.runs.Load())
 }
 
-// The guard's counts reach the entry, and nobody else; a backend server can't
-// make itself look idle.
-func TestLoadRidesOnReplies(t *testing.T) {
+// The guard's load reports must reach the entry but not the caller, and a backend server must
+// not be able to appear idle by sending its own.
+func TestGuardLoadReachesEntryButNotCallers(t *testing.T) {
 	b := newFixture(t, func(*fleet.Fleet) {}, ok)
-	// The budget starts empty, so the first replies may go without.
+	// The measuring budget starts empty, so the first answers may lack a report.
 	require.Eventually(t, func() bool {
 		w := b.get()
 		require.Equal(t, http.StatusOK, w.Code)
-		require.Empty(t, w.Header().Get(headers.Load), "callers don't see it")
-		return b.reported() != nil
+		require.Empty(t, w.Header().Get(headers.Load), "not sent to callers")
+		return b.anyReport() != nil
 	}, 5*time.Second, 10*time.Millisecond)
-	require.Equal(t, 4, b.reported().Slots, "the guard's count, not the backend server's")
+	require.Equal(t, 4, b.anyReport().Slots, "the guard's count, not the backend server's")
 	for _, target := range b.view.Services["orders"].Targets {
 		require.Zero(t, target.Stat.InFlight.Load())
 	}
 }
 
-// reported gives a report that came from any target, or nil.
-func (b *fixture) reported() *pick.Report {
+// anyReport returns a report of any target, or nil.
+func (b *fixture) anyReport() *pick.Report {
 	for _, target := range b.view.Services["orders"].Targets {
 		if r := target.Reported(); r != nil {
 			return r
@@ -263,20 +263,20 @@
 	return nil
 }
 
-func TestPolicyWithoutReportsCostsNothing(t *testing.T) {
+func TestPolicyWithoutReportsUsesNoMeasuringBudget(t *testing.T) {
 	b := newFixture(t, func(f *fleet.Fleet) { f.Services[0].Policy = fleet.PolicyTwoChoices }, ok)
 	for range 50 {
 		b.get()
 	}
-	require.Nil(t, b.reported())
+	require.Nil(t, b.anyReport())
 	for _, m := range b.budgets {
 		require.Zero(t, m.Spent().Bytes.Load())
 	}
 }
 
-// Probes follow traffic: a service nobody calls costs nothing, and what is
-// probed is paid for before it is sent.
-func TestProbesArePaidForAndFollowTraffic(t *testing.T) {
+// Guards against probes for a service without traffic, and against probes that are not charged
+// to the measuring budget before they are sent.
+func TestProbesNeedTrafficAndBudget(t *testing.T) {
 	b := newFixture(t, func(f *fleet.Fleet) { f.Services[0].Policy = fleet.PolicyProbe }, ok)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -284,16 +284,16 @@
 		b.entry.Run(ctx)
 		close(ended)
 	}()
-	learnt := func() bool {
+	identitiesKnown := func() bool {
 		return !slices.ContainsFunc(b.view.Services["orders"].Targets, func(t *pick.Target) bool {
 			return t.Stat.Identity() == nil
 		})
 	}
-	require.Eventually(t, learnt, 10*time.Second, 10*time.Millisecond, "each target is greeted ahead of use")
+	require.Eventually(t, identitiesKnown, 10*time.Second, 10*time.Millisecond, "a connection to each target is opened ahead of use")
 	require.Zero(t, b.measuring.Spent().Requests.Load())
 	require.Eventually(t, func() bool {
 		b.get()
-		return b.reported() != nil
+		return b.anyReport() != nil
 	}, 10*time.Second, 10*time.Millisecond)
 	cancel()
 	<-ended
--- a/internal/entry/connections.go
+++ b/internal/entry/connections.go
@@ -6,33 +6,35 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// connections bounds the connections to each guard.
-type connections struct {
-	// idle are kept open; open is the most at a time, 0 for no bound.
-	idle, open int
+// connectionLimits bounds the connections to each guard.
+type connectionLimits struct {
+	// maxIdle is how many idle connections are kept; maxOpen bounds the open ones, 0 for no
+	// bound.
+	maxIdle, maxOpen int
 }
 
-// unbounded is used until a View is in force.
-var unbounded = connections{idle: 8}
+// defaultConnectionLimits applies until a View is in force.
+var defaultConnectionLimits = connectionLimits{maxIdle: 8}
 
-// connectionsOf gives each entry its share of the connections that targets
-// accept, rounded to a power of two so that a VM more or less changes nothing. A guard
-// never has use for more requests of one entry than run and wait there.
-func connectionsOf(v *pick.View) connections {
-	size := connections{}
+// connectionLimitsFor returns each entry's share of the connections that targets accept,
+// rounded down to a power of two so that adding or removing a VM rarely changes it. maxOpen is
+// at least the number of requests that can run and wait at one guard, as an entry can't use
+// more connections than that.
+func connectionLimitsFor(v *pick.View) connectionLimits {
+	size := connectionLimits{}
 	share := 0
 	for _, s := range v.Services {
 		accepted := 0
 		for _, t := range s.Homes {
 			accepted += t.Connections
-			size.open = max(size.open, t.Slots+s.Queue)
+			size.maxOpen = max(size.maxOpen, t.Slots+s.Queue)
 		}
 		users := max(v.Nodes, 1) * max(len(s.Targets), 1)
-		if mine := accepted / users; share == 0 || mine < share {
-			share = mine
+		if perEntry := accepted / users; share == 0 || perEntry < share {
+			share = perEntry
 		}
 	}
-	size.idle = 1 << max(bits.Len(uint(share))-1, 0)
-	size.open = max(size.open, size.idle)
+	size.maxIdle = 1 << max(bits.Len(uint(share))-1, 0)
+	size.maxOpen = max(size.maxOpen, size.maxIdle)
 	return size
 }
--- a/internal/entry/connections_test.go
+++ b/internal/entry/connections_test.go
@@ -10,19 +10,18 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// A backend server accepts about 200 connections. If every entry keeps as many
-// as it likes, the last ones find no room, and their callers see failures on a
-// day on which nothing has failed.
-func TestConnectionsAreShared(t *testing.T) {
+// A backend server accepts about 200 connections. If entries kept connections without a bound,
+// further ones would be refused and callers would see errors without any fault.
+func TestConnectionsAreSharedBetweenEntries(t *testing.T) {
 	for name, c := range map[string]struct {
 		nodes, targets, used int
-		want                 connections
+		want                 connectionLimits
 	}{
-		"today":           {18, 6, 6, connections{idle: 8, open: 22}},
-		"one node more":   {19, 6, 6, connections{idle: 8, open: 22}},
-		"the target size": {890, 15, 5, connections{idle: 1, open: 22}},
-		"one node":        {1, 1, 1, connections{idle: 128, open: 128}},
-		"nothing known":   {0, 1, 1, connections{idle: 128, open: 128}},
+		"18 nodes":      {18, 6, 6, connectionLimits{maxIdle: 8, maxOpen: 22}},
+		"19 nodes":      {19, 6, 6, connectionLimits{maxIdle: 8, maxOpen: 22}},
+		"890 nodes":     {890, 15, 5, connectionLimits{maxIdle: 1, maxOpen: 22}},
+		"one node":      {1, 1, 1, connectionLimits{maxIdle: 128, maxOpen: 128}},
+		"nothing known": {0, 1, 1, connectionLimits{maxIdle: 128, maxOpen: 128}},
 	} {
 		homes := make([]*pick.Target, c.targets)
 		for i := range homes {
@@ -32,6 +31,6 @@
 			Service: &config.Service{Service: fleet.Service{Queue: 16}}, Targets: homes[:c.used], Homes: homes,
 		}
 		v := &pick.View{Nodes: c.nodes, Services: map[string]*pick.Service{"s": s}}
-		require.Equal(t, c.want, connectionsOf(v), name)
+		require.Equal(t, c.want, connectionLimitsFor(v), name)
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry takes callers' requests, chooses a target for each, retries
-// what may be retried, and tells the outcome.
+// Package entry accepts callers' requests, chooses a target for each, retries those that may
+// be retried, and reports the outcome.
 package entry
 
 import (
@@ -21,86 +21,86 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// Caller asks peers' control sides what became of an attempt.
+// Caller sends control messages to peers, such as a query for the outcome of an attempt.
 type Caller interface {
-	// CallNew sends a message over a new connection and gives the answer.
+	// CallNew sends a message over a new connection and returns the answer.
 	CallNew(ctx context.Context, addr string, m wire.Message) (wire.Message, error)
-	// Call may use a kept connection.
+	// Call is like CallNew but may use an existing connection.
 	Call(ctx context.Context, addr string, m wire.Message) (wire.Message, error)
-	// Cost bounds the bytes that a Call of m sends.
+	// Cost returns an upper bound of the bytes that a Call of m sends.
 	Cost(m wire.Message) int
 }
 
-// SuspectReporter is told of requests that may crash backend servers. Safe for
-// concurrent use.
+// SuspectReporter is notified of requests that may crash backend servers. Safe for concurrent
+// use.
 type SuspectReporter interface {
 	// Died reports a request that was in flight when a backend server died.
 	Died(fingerprint uint64, d suspect.Death)
-	// Cleared reports a suspect that has run to its end.
+	// Cleared reports a suspect that completed without a crash.
 	Cleared(fingerprint uint64)
 }
 
-// Observer is told what each request came to. Safe for concurrent use.
+// Observer is notified of the outcome of each request. Safe for concurrent use.
 type Observer interface {
 	// Answered reports a request that was answered, by the backend server
 	// (with an empty kind) or by the system.
 	Answered(service string, k kind.Kind, took time.Duration)
-	// Hopped reports a target that was given up for another one, and why.
+	// Hopped reports that a request moves on from a target to another one, and why.
 	Hopped(service string, k kind.Kind)
 }
 
 // Entry is the entry role of a node: an http.Handler for callers. Safe for
 // concurrent use.
 type Entry struct {
-	view      pick.Current
-	local     http.RoundTripper
-	remote    *transports
-	seal      func(*wire.Seal) *wire.Sealed
-	peers     Caller
-	observer  Observer
-	reporter  atomic.Pointer[SuspectReporter]
-	behind    atomic.Pointer[func(vm string)]
-	now       func() time.Duration
-	load      func() gate.Load
-	limits    *limit.Table
-	measuring *budget.Measuring
-	accounts  accounts
-	heartbeat heartbeat
-	counters  Counters
-	// name is unique to this process; exchanges counts the ids made with it.
+	view          pick.Current
+	local         http.RoundTripper
+	remote        *transports
+	seal          func(*wire.Seal) *wire.Sealed
+	peers         Caller
+	observer      Observer
+	reporter      atomic.Pointer[SuspectReporter]
+	onStaleConfig atomic.Pointer[func(vm string)]
+	now           func() time.Duration
+	load          func() gate.Load
+	limits        *limit.Table
+	measuring     *budget.Measuring
+	retryBudgets  retryBudgets
+	heartbeat     heartbeat
+	counters      Counters
+	// name is unique to this process; exchanges counts the ids derived from it.
 	name      string
 	exchanges atomic.Uint64
-	// copies counts second copies under way.
-	copies sync.WaitGroup
-	hedges sync.Pool
+	// runningHedges counts second copies in progress.
+	runningHedges sync.WaitGroup
+	hedges        sync.Pool
 }
 
-// Counters count what an entry does about exchanges that went wrong. Safe for
-// concurrent use.
+// Counters count failed exchanges and what the entry did about them. Safe for concurrent use.
 type Counters struct {
-	// Checks counts questions about exchanges in which nothing moved.
+	// ProgressChecks counts queries about exchanges that made no progress.
 	Checks atomic.Uint64
-	// Silent counts connections given up because they had gone silent.
+	// UnresponsiveConnections counts connections that were closed because they were
+	// unresponsive.
 	Silent atomic.Uint64
-	// Resolved counts attempts whose fate had to be asked for.
+	// Resolved counts attempts whose outcome had to be queried.
 	Resolved atomic.Uint64
 }
 
-// Config is what an Entry is made of.
+// Config configures an Entry.
 type Config struct {
-	// Local is the guard of the own node, and Seal asks it about attempts.
+	// Local is the guard of this node, and Seal queries it about attempts.
 	Local http.RoundTripper
 	Seal  func(*wire.Seal) *wire.Sealed
 	Peers Caller
-	// Load gives the load of the own backend server; nil if it isn't known.
+	// Load returns the load of the local backend server; nil if it isn't known.
 	Load func() gate.Load
-	// Limits bounds what is in flight.
+	// Limits bounds the requests in flight.
 	Limits *limit.Table
 	// Measuring is the budget for probes; nil means none are sent.
 	Measuring *budget.Measuring
-	// Observer is told of every answer.
+	// Observer is notified of every answer.
 	Observer Observer
-	// Now gives the time since the node's start, of a monotonic clock.
+	// Now returns the monotonic time since the node's start.
 	Now func() time.Duration
 }
 
@@ -118,10 +118,10 @@
 	return e
 }
 
-// SetView puts a new View in force. Only one goroutine may call it.
+// SetView replaces the View in force. Only one goroutine may call it.
 func (e *Entry) SetView(v *pick.View) {
 	e.limits.SetConfig(v.Config)
-	e.accounts.setView(v)
+	e.retryBudgets.setView(v)
 	e.view.Store(v)
 	inUse := map[string]bool{}
 	for _, s := range v.Services {
@@ -129,24 +129,24 @@
 			inUse[t.Guard] = true
 		}
 	}
-	e.remote.Keep(inUse)
-	e.remote.Bound(connectionsOf(v))
+	e.remote.RetainOnly(inUse)
+	e.remote.SetLimits(connectionLimitsFor(v))
 }
 
 // Beat must be called often; a late call shows that the process was paused.
 func (e *Entry) Beat() { e.heartbeat.Beat(time.Now()) }
 
-// Counters gives what has been counted so far.
+// Counters returns the entry's counters.
 func (e *Entry) Counters() *Counters { return &e.counters }
 
-// OnBehind sets what is called, without waiting, when the guard on a VM refuses
-// a request because its configuration is another.
-func (e *Entry) OnBehind(f func(vm string)) { e.behind.Store(&f) }
+// OnStaleConfig sets a function that is called when the guard on a VM refuses a request
+// because its configuration differs. f must not block.
+func (e *Entry) OnBehind(f func(vm string)) { e.onStaleConfig.Store(&f) }
 
-// View gives the View in force, or nil.
+// View returns the View in force, or nil.
 func (e *Entry) View() *pick.View { return e.view.Load() }
 
-// Close drops the idle connections to guards.
+// Close closes the idle connections to guards.
 func (e *Entry) Close() { e.remote.CloseIdleConnections() }
 
 // ServeHTTP answers one request of a caller.
@@ -176,10 +176,10 @@
 		*service = x.service.Name
 		err = e.admit(w, v, x)
 	}
-	return x.ofEveryCopy(err)
+	return x.coverAllCopies(err)
 }
 
-// admit checks limits and serves a request that has been understood.
+// admit checks limits and serves a parsed request.
 func (e *Entry) admit(w http.ResponseWriter, v *pick.View, x *request) *kind.Error {
 	r := x.in
 	hold, err := e.limits.Admit(x.service.Name, x.route)
@@ -187,7 +187,7 @@
 		return err
 	}
 	defer hold.Release()
-	x.account = e.accounts.of(x.service.Name)
+	x.account = e.retryBudgets.forService(x.service.Name)
 	if x.chain.Fresh() {
 		x.account.Request()
 	}
@@ -195,22 +195,22 @@
 	defer cancel()
 	x.cancel = cancel
 	if r.Header.Get(headers.Ticket) != "" {
-		return e.issue(ctx, w, x)
+		return e.issueTicket(ctx, w, x)
 	}
-	if err := x.holdBody(); err != nil {
+	if err := x.bufferBody(); err != nil {
 		return err
 	}
 	x.arrived = time.Now()
 	if err := x.checkSuspect(v, e.now()); err != nil {
 		return err
 	}
-	if x.once {
+	if x.atMostOnce {
 		err = e.serveOnce(ctx, w, v, x)
 	} else {
 		err = e.serveIdempotent(ctx, w, v, x)
 	}
 	if err != nil {
-		err = e.reroute(ctx, w, v, x, err)
+		err = e.retryWithNewConfig(ctx, w, v, x, err)
 	}
 	return err
 }
--- a/internal/entry/evidence.go
+++ b/internal/entry/evidence.go
@@ -12,8 +12,8 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// outcomeOf tells what an exchange says about its target.
-func outcomeOf(ctx context.Context, resp *http.Response, e *kind.Error) pick.Outcome {
+// targetOutcome returns what the result of an exchange shows about its target.
+func targetOutcome(ctx context.Context, resp *http.Response, e *kind.Error) pick.Outcome {
 	switch {
 	case e == nil && resp.StatusCode >= http.StatusInternalServerError:
 		return pick.Failed
@@ -28,7 +28,7 @@
 	case kind.Overloaded:
 		return pick.Refused
 	case kind.DeadlineUnknown, kind.DeadlineNotRun:
-		// The latter was spent in the guard's queue.
+		// DeadlineNotRun means that the deadline passed in the guard's queue.
 		return pick.Late
 	case kind.BackendDied, kind.BackendBroken, kind.OutcomeUnknown:
 		return pick.Failed
@@ -36,9 +36,9 @@
 	return pick.Neutral
 }
 
-// learnLoad takes the load that came with an answer off it. It is used with the
-// age it has from here on; how old it was on arrival is part of the round trip.
-func (e *Entry) learnLoad(t *pick.Target, m pick.Mark, h http.Header) {
+// recordLoad removes the load report from an answer's headers and records it for the target.
+// The report's age counts from its arrival here; its age on arrival is part of the round trip.
+func (e *Entry) recordLoad(t *pick.Target, m pick.Mark, h http.Header) {
 	text := h.Get(headers.Load)
 	if text == "" {
 		return
@@ -53,8 +53,8 @@
 	t.Report(pick.Report{Running: l.Running, Waiting: l.Waiting, Slots: l.Slots, Service: l.Service, At: now})
 }
 
-// learnLocal takes the load of the own backend server, which costs nothing.
-func (e *Entry) learnLocal(t *pick.Target) {
+// recordLocalLoad records the load of the local backend server, which needs no message.
+func (e *Entry) recordLocalLoad(t *pick.Target) {
 	if e.load == nil {
 		return
 	}
@@ -62,22 +62,22 @@
 	t.Report(pick.Report{Running: l.InUse, Waiting: l.Waiting, Slots: l.Limit, Service: l.Service, At: e.now()})
 }
 
-// countedBody counts the request out of its target once the answer is closed.
-type countedBody struct {
+// inFlightBody ends the target's in-flight request once the answer is closed.
+type inFlightBody struct {
 	io.ReadCloser
 	target *pick.Target
 	closed atomic.Bool
 }
 
-func (b *countedBody) Close() error {
+func (b *inFlightBody) Close() error {
 	if !b.closed.Swap(true) {
 		b.target.End()
 	}
 	return b.ReadCloser.Close()
 }
 
-// timed says whether the time to an answer is the target's doing: a body that
-// streams takes as long as its sender does.
-func timed(out *http.Request) bool {
-	return out.ContentLength >= 0 && out.ContentLength <= maxHeldBody
+// latencyMeasurable reports whether the time to an answer depends on the target alone. The
+// time of a streamed request body also depends on its sender.
+func latencyMeasurable(out *http.Request) bool {
+	return out.ContentLength >= 0 && out.ContentLength <= maxBufferedBody
 }
--- a/internal/entry/evidence_test.go
+++ b/internal/entry/evidence_test.go
@@ -12,10 +12,10 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// What is held against a target must be its own doing: a caller that goes away,
-// or a node that leaves in good order, must not get a server ejected.
-func TestEvidenceAboutATarget(t *testing.T) {
-	gone, cancel := context.WithCancel(t.Context())
+// Guards against a server that is ejected for something it did not cause, such as a caller
+// that disconnects or a node that shuts down regularly.
+func TestTargetOutcomeOfExchange(t *testing.T) {
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	for name, c := range map[string]struct {
 		ctx    context.Context
@@ -24,21 +24,21 @@
 		want   pick.Outcome
 	}{
 		"an answer":                         {t.Context(), 200, "", pick.Good},
-		"the caller's own mistake":          {t.Context(), 404, "", pick.Good},
-		"a failure":                         {t.Context(), 500, "", pick.Failed},
-		"shed before start":                 {t.Context(), 503, "", pick.Failed},
-		"the caller has gone":               {gone, 0, kind.OutcomeUnknown, pick.Neutral},
+		"a client error":                    {t.Context(), 404, "", pick.Good},
+		"a server error":                    {t.Context(), 500, "", pick.Failed},
+		"service unavailable":               {t.Context(), 503, "", pick.Failed},
+		"the caller has disconnected":       {canceled, 0, kind.OutcomeUnknown, pick.Neutral},
 		"no connection":                     {t.Context(), 0, kind.Unreachable, pick.Unreachable},
 		"a full queue":                      {t.Context(), 0, kind.Overloaded, pick.Refused},
 		"the deadline, running":             {t.Context(), 0, kind.DeadlineUnknown, pick.Late},
 		"the deadline, in the queue":        {t.Context(), 0, kind.DeadlineNotRun, pick.Late},
 		"the process ended":                 {t.Context(), 0, kind.BackendDied, pick.Failed},
-		"the exchange broke off":            {t.Context(), 0, kind.BackendBroken, pick.Failed},
-		"silence":                           {t.Context(), 0, kind.OutcomeUnknown, pick.Failed},
-		"leaving in good order":             {t.Context(), 0, kind.Leaving, pick.Neutral},
+		"the exchange was interrupted":      {t.Context(), 0, kind.BackendBroken, pick.Failed},
+		"no answer":                         {t.Context(), 0, kind.OutcomeUnknown, pick.Failed},
+		"regular shutdown":                  {t.Context(), 0, kind.Leaving, pick.Neutral},
 		"another configuration":             {t.Context(), 0, kind.StaleConfig, pick.Neutral},
 		"an attempt for an older process":   {t.Context(), 0, kind.StaleAttempt, pick.Neutral},
-		"the caller's upload ended early":   {t.Context(), 0, kind.BodyCut, pick.Neutral},
+		"the caller's upload was truncated": {t.Context(), 0, kind.BodyCut, pick.Neutral},
 		"a request that crashes its server": {t.Context(), 0, kind.Blocked, pick.Neutral},
 	} {
 		var failed *kind.Error
@@ -48,21 +48,20 @@
 		} else {
 			resp = &http.Response{StatusCode: c.status}
 		}
-		require.Equal(t, c.want, outcomeOf(c.ctx, resp, failed), name)
+		require.Equal(t, c.want, targetOutcome(c.ctx, resp, failed), name)
 	}
 }
 
-// All nodes of a zone are restarted. Each target then refuses the first
-// attempt of every entry once, to tell its new incarnation, and some that come while it
-// still leaves. Were these paid for, the budget would be spent on them and
-// bookings turned away although nothing is overloaded.
-func TestRefusalsOfARestartCostNothing(t *testing.T) {
+// All nodes of a zone are restarted. Each target refuses the first attempt of every entry to
+// report its new incarnation, and some attempts while it shuts down. If these were charged,
+// they would use up the budget and requests would fail without any overload.
+func TestRefusalsDuringRestartUseNoRetryBudget(t *testing.T) {
 	e := &Entry{}
 	for k, free := range map[kind.Kind]bool{
 		kind.StaleAttempt: true, kind.StaleConfig: true, kind.Leaving: true, kind.NotReady: true, kind.Unreachable: true,
 		kind.Overloaded: false, kind.Sealed: false, kind.BackendDied: false,
 	} {
 		x := &request{account: budget.NewRetry(0), chain: budget.ChainRetries}
-		require.Equal(t, free, e.mayGoOn(x, kind.New(k, "test")), k)
+		require.Equal(t, free, e.allowNextAttempt(x, kind.New(k, "test")), k)
 	}
 }
--- a/internal/entry/fate.go
+++ b/internal/entry/fate.go
@@ -15,74 +15,74 @@
 )
 
 const (
-	// resolvePause is the pause between two tries to ask a guard.
-	resolvePause = 50 * time.Millisecond
-	// unheardLimit is how long a guard that doesn't answer is asked about an
-	// attempt. Past it the caller gets its answer, "unknown", at once.
-	unheardLimit = 2 * time.Second
-	// refusedLimit is the same for a guard whose VM refuses connections: its
-	// process has ended, and its records with it.
+	// resolveInterval is the pause between two queries to a guard.
+	resolveInterval = 50 * time.Millisecond
+	// unansweredLimit is how long a guard that doesn't answer is queried about an attempt.
+	// After that the caller receives the outcome "unknown".
+	unansweredLimit = 2 * time.Second
+	// refusedLimit is the same for a guard whose VM refuses connections: its process has
+	// ended, and its records are lost.
 	refusedLimit = 200 * time.Millisecond
 )
 
-// sent is an attempt on its way: what it is called, and where.
-type sent struct {
+// sentAttempt identifies an attempt that was sent, and its target.
+type sentAttempt struct {
 	target   *pick.Target
 	id       string
 	identity pick.Identity
-	// again says that another copy may be sent under the same id, so that one
+	// repeatable is true if another copy may be sent under the same id, so that an attempt
 	// that hasn't arrived needs no seal.
-	again bool
+	repeatable bool
 }
 
-// resolve finds out, over new connections, what became of an attempt whose
-// exchange broke, and delivers its answer if it has one. It ends at the latest
-// when the incarnation that alone can know is gone or can't be reached.
-func (e *Entry) resolve(ctx context.Context, w http.ResponseWriter, s sent) *kind.Error {
+// resolve queries the outcome of an attempt whose exchange failed, over new connections, and
+// delivers its answer if there is one. It returns at the latest when the only incarnation that
+// can know the outcome is gone or unreachable.
+func (e *Entry) resolve(ctx context.Context, w http.ResponseWriter, s sentAttempt) *kind.Error {
 	e.remote.Drop(s.target.Guard)
 	e.counters.Resolved.Add(1)
-	p := patience{since: e.now()}
+	p := resolveLimit{since: e.now()}
 	for {
-		heard, err := e.resolveOnce(ctx, w, s)
-		if err == nil || !open(err) {
+		hasReplied, err := e.resolveOnce(ctx, w, s)
+		if err == nil || !outcomePending(err) {
 			return err
 		}
-		if heard {
-			p.heard(e.now())
+		if hasReplied {
+			p.replied(e.now())
 		}
-		if p.out(e.now(), err.Cause) || ctx.Err() != nil {
-			return kind.New(kind.OutcomeUnknown, "the target that may have run the request can't be asked").Because(err.Cause)
+		if p.exceeded(e.now(), err.Cause) || ctx.Err() != nil {
+			return kind.New(kind.OutcomeUnknown, "the target that may have run the request can't be queried").Because(err.Cause)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(resolvePause):
+		case <-time.After(resolveInterval):
 		}
 	}
 }
 
-// open says whether the fate of an attempt is still to be found out: an
-// exchange broke, and no guard has said what came of it.
-func open(err *kind.Error) bool {
+// outcomePending reports whether the outcome of an attempt is still to be queried: its
+// exchange failed, and no guard has reported the outcome.
+func outcomePending(err *kind.Error) bool {
 	switch err.Kind {
 	case kind.OutcomeUnknown:
 		return !err.FromGuard
 	case kind.BackendBroken:
-		// An answer that broke off between two nodes; the guard may keep it whole.
+		// The answer was truncated between two nodes; the guard may have it complete.
 		return !err.FromGuard
 	}
 	return false
 }
 
-// resolveOnce asks once, and collects the answer if there is to be one. heard
-// says that the guard has replied.
-func (e *Entry) resolveOnce(ctx context.Context, w http.ResponseWriter, s sent) (heard bool, failed *kind.Error) {
-	reply, err := e.ask(ctx, s.target, &wire.Seal{
-		Incarnation: s.identity.Incarnation, Attempt: s.id, Tick: s.identity.Tick, AskOnly: s.again,
+// resolveOnce sends one query, and collects the answer if the target has one. hasReplied reports
+// whether the guard has replied.
+func (e *Entry) resolveOnce(ctx context.Context, w http.ResponseWriter, s sentAttempt) (hasReplied bool, failed *kind.Error) {
+	reply, err := e.queryAttempt(ctx, s.target, &wire.Seal{
+		Incarnation: s.identity.Incarnation, Attempt: s.id, Tick: s.identity.Tick, AskOnly: s.repeatable,
 	})
 	if err != nil {
-		return false, kind.New(kind.OutcomeUnknown, "the target can't be asked").Because(err)
+		return false, kind.New(kind.OutcomeUnknown, "the target can't be queried").Because(err)
 	}
-	if s.again && (reply.State == wire.AttemptAbsent || reply.State == wire.AttemptWaiting) {
+	if s.repeatable && (reply.State == wire.AttemptAbsent || reply.State == wire.AttemptWaiting) {
 		return true, kind.New(kind.StaleAttempt, "the request hasn't started at its target")
 	}
 	switch attempt.Next(reply, s.identity.Incarnation) {
@@ -93,13 +93,13 @@
 	case attempt.Collect:
 		return true, e.collect(ctx, w, s)
 	}
-	gone := kind.New(kind.OutcomeUnknown, "the process that may have run the request is gone, or can't tell")
-	gone.FromGuard = true
-	return true, gone
+	ended := kind.New(kind.OutcomeUnknown, "the process that may have run the request has ended or has no record of it")
+	ended.FromGuard = true
+	return true, ended
 }
 
-// collect gets the kept answer of an attempt and delivers it.
-func (e *Entry) collect(ctx context.Context, w http.ResponseWriter, s sent) *kind.Error {
+// collect fetches the stored answer of an attempt and delivers it.
+func (e *Entry) collect(ctx context.Context, w http.ResponseWriter, s sentAttempt) *kind.Error {
 	out, err := http.NewRequest(http.MethodGet, "http://"+s.target.Guard+"/", nil)
 	if err != nil {
 		return kind.From(err)
@@ -108,7 +108,7 @@
 	out.Header.Set(headers.Incarnation, formatHex(s.identity.Incarnation))
 	resp, failed := e.send(ctx, e.View(), s.target, out)
 	if failed != nil {
-		// That the guard can't be reached now says nothing about the attempt.
+		// A guard that can't be reached now is no evidence about the attempt.
 		if failed.Said() == kind.NotRun && !failed.FromGuard {
 			return kind.New(kind.OutcomeUnknown, "the answer can't be collected").Because(failed.Cause)
 		}
@@ -117,8 +117,8 @@
 	return deliver(w, resp)
 }
 
-// ask sends a question about an attempt to its target's control side.
-func (e *Entry) ask(ctx context.Context, t *pick.Target, q *wire.Seal) (*wire.Sealed, error) {
+// queryAttempt sends a query about an attempt to the control port of its target.
+func (e *Entry) queryAttempt(ctx context.Context, t *pick.Target, q *wire.Seal) (*wire.Sealed, error) {
 	if v := e.View(); v != nil && v.Local(t) {
 		return e.seal(q), nil
 	}
@@ -130,13 +130,13 @@
 	}
 	reply, ok := m.(*wire.Sealed)
 	if !ok {
-		return nil, kind.New(kind.OutcomeUnknown, "the target answered something else")
+		return nil, kind.New(kind.OutcomeUnknown, "the target sent an unexpected type of answer")
 	}
 	return reply, nil
 }
 
-// patience bounds how long a guard that doesn't answer is asked.
-type patience struct {
+// resolveLimit bounds how long a guard that doesn't answer is queried.
+type resolveLimit struct {
 	since   time.Duration
 	refused int
 	replies int
@@ -145,18 +145,18 @@
 const (
 	// maxRefused is how many refused connections show that a process has ended.
 	maxRefused = 3
-	// maxReplies is how often a guard that replies is asked, when each time the
-	// answer breaks off before it has been collected.
+	// maxReplies bounds the queries to a guard that replies, if each time its answer is
+	// truncated while it is collected.
 	maxReplies = 5
 )
 
-// heard starts the wait anew: the guard is there, and the run may take long.
-func (p *patience) heard(now time.Duration) {
+// replied restarts the time limit: the guard is reachable, and the request may run for long.
+func (p *resolveLimit) replied(now time.Duration) {
 	p.since, p.refused = now, 0
 	p.replies++
 }
 
-func (p *patience) out(now time.Duration, err error) bool {
+func (p *resolveLimit) exceeded(now time.Duration, err error) bool {
 	if p.replies >= maxReplies {
 		return true
 	}
@@ -166,5 +166,5 @@
 	if p.refused >= maxRefused && now-p.since >= refusedLimit {
 		return true
 	}
-	return now-p.since >= unheardLimit
+	return now-p.since >= unansweredLimit
 }
--- a/internal/entry/fate_test.go
+++ b/internal/entry/fate_test.go
@@ -10,39 +10,39 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A booking's node is gone. Its caller has ten minutes, and needs to know now
-// that nobody can tell: an ended process after moments, one that doesn't answer
-// after two seconds.
-func TestHowLongAGuardIsAsked(t *testing.T) {
+// The node that may have run a request is gone. The caller must be answered with an unknown
+// outcome quickly, even if its deadline is ten minutes away: after 200 ms if the process has
+// ended, after two seconds if the node doesn't answer.
+func TestUnresponsiveGuardIsQueriedForLimitedTime(t *testing.T) {
 	refused := fmt.Errorf("dial: %w", syscall.ECONNREFUSED)
-	silent := errors.New("timeout")
+	unanswered := errors.New("timeout")
 	cases := []struct {
-		name string
-		errs []error
-		at   time.Duration
-		out  bool
+		name     string
+		errs     []error
+		at       time.Duration
+		exceeded bool
 	}{
-		{"one refusal may be a restart of the port", []error{refused}, refusedLimit, false},
-		{"several at once may be a moment's", []error{refused, refused, refused}, 0, false},
-		{"several over a while are a process that has ended", []error{refused, refused, refused}, refusedLimit, true},
-		{"silence for a while", []error{silent, silent, silent}, refusedLimit, false},
-		{"silence for long", []error{silent}, unheardLimit, true},
+		{"one refusal may be a restart of the listener", []error{refused}, refusedLimit, false},
+		{"several at once may be temporary", []error{refused, refused, refused}, 0, false},
+		{"several over time show an ended process", []error{refused, refused, refused}, refusedLimit, true},
+		{"no answer within the limit", []error{unanswered, unanswered, unanswered}, refusedLimit, false},
+		{"no answer beyond the limit", []error{unanswered}, unansweredLimit, true},
 	}
-	p := patience{}
-	p.heard(unheardLimit)
-	require.False(t, p.out(unheardLimit, silent), "a guard that replied, and whose run took long, is asked again")
+	p := resolveLimit{}
+	p.replied(unansweredLimit)
+	require.False(t, p.exceeded(unansweredLimit, unanswered), "a guard that replied and runs the request for long is queried again")
 	for range maxReplies {
-		p.heard(unheardLimit)
+		p.replied(unansweredLimit)
 	}
-	require.True(t, p.out(unheardLimit, silent), "but not for ever")
+	require.True(t, p.exceeded(unansweredLimit, unanswered), "but not indefinitely")
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := patience{}
-			out := false
+			p := resolveLimit{}
+			exceeded := false
 			for _, err := range c.errs {
-				out = p.out(c.at, err)
+				exceeded = p.exceeded(c.at, err)
 			}
-			require.Equal(t, c.out, out)
+			require.Equal(t, c.exceeded, exceeded)
 		})
 	}
 }
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -27,26 +27,28 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// old is the age of the test's guards: more than it takes to accept keys.
-const old = 30 * time.Minute
+// guardAge is the age of the test's guards. It is longer than a guard waits before it accepts
+// keys.
+const guardAge = 30 * time.Minute
 
-// node is a guard with its sockets. Entries reach it through a pipe that tests
-// can silence or break.
+// node is a guard with its listeners. Entries reach it through a proxy that tests can stall or
+// interrupt.
 type node struct {
-	world   *world
+	cluster *testCluster
 	no      int
 	backend string
 	guard   atomic.Pointer[guard.Guard]
-	pipe    *pipe
+	proxy   *tcpProxy
 	control *link.Server
 	address string
 	listen  net.Listener
-	// mixedUp is how many answers to come carry the id of another request.
-	mixedUp atomic.Int32
+	// mismatchedAnswers is how many of the next answers carry the id of another request.
+	mismatchedAnswers atomic.Int32
 }
 
-// world is a service "s" on a few nodes; "/read" is idempotent, the rest is at most once.
-type world struct {
+// testCluster is a service "s" on a few nodes; "/read" is idempotent, all other routes are at
+// most once.
+type testCluster struct {
 	t       *testing.T
 	config  *config.Config
 	nodes   []*node
@@ -54,13 +56,13 @@
 	callers []string
 }
 
-type nobody struct{}
+type discardObserver struct{}
 
-func (nobody) Answered(string, kind.Kind, time.Duration) {}
-func (nobody) Hopped(string, kind.Kind)                  {}
+func (discardObserver) Answered(string, kind.Kind, time.Duration) {}
+func (discardObserver) Hopped(string, kind.Kind)                  {}
 
-func newWorld(t *testing.T, backends ...string) *world {
-	w := &world{t: t}
+func newTestCluster(t *testing.T, backends ...string) *testCluster {
+	w := &testCluster{t: t}
 	f := fleet.Fleet{
 		Name: "test", Revision: 1, Zones: []fleet.Zone{{Name: "z", Region: "r"}},
 		Teams: []fleet.Team{{Name: "ops"}},
@@ -93,12 +95,12 @@
 	return whole
 }
 
-func (w *world) node(no int, backend string) *node {
-	n := &node{world: w, no: no, backend: backend}
-	n.start(1, old)
+func (w *testCluster) node(no int, backend string) *node {
+	n := &node{cluster: w, no: no, backend: backend}
+	n.start(1, guardAge)
 	server := httptest.NewServer(http.HandlerFunc(n.serve))
 	w.t.Cleanup(server.Close)
-	n.pipe = newPipe(w.t, strings.TrimPrefix(server.URL, "http://"))
+	n.proxy = newTCPProxy(w.t, strings.TrimPrefix(server.URL, "http://"))
 	n.control = link.NewServer(n, &link.Counters{})
 	var err error
 	n.listen, err = net.Listen("tcp", "127.0.0.1:0")
@@ -110,7 +112,7 @@
 }
 
 func (n *node) serve(w http.ResponseWriter, r *http.Request) {
-	if n.mixedUp.Add(-1) < 0 {
+	if n.mismatchedAnswers.Add(-1) < 0 {
 		n.guard.Load().ServeHTTP(w, r)
 		return
 	}
@@ -122,39 +124,39 @@
 	_, _ = w.Write(rec.Body.Bytes())
 }
 
-// start puts a new incarnation in the place of the one before.
+// start replaces the guard by a new incarnation.
 func (n *node) start(incarnation uint64, age time.Duration) {
 	base, err := url.Parse(n.backend)
-	require.NoError(n.world.t, err)
+	require.NoError(n.cluster.t, err)
 	var passed atomic.Int64
 	start := time.Now()
 	g := guard.New(base, incarnation, func() time.Duration { return time.Since(start) + time.Duration(passed.Load()) })
-	g.SetView(&pick.View{Config: n.world.config, Here: pick.Place{VM: fmt.Sprint("vm", n.no)}})
+	g.SetView(&pick.View{Config: n.cluster.config, Here: pick.Place{VM: fmt.Sprint("vm", n.no)}})
 	g.Listed("ip", time.Millisecond)
 	passed.Store(int64(age))
 	g.Listed("ip", age)
 	n.guard.Store(g)
 }
 
-// kill ends the node as a process that dies: its ports refuse connections.
+// kill simulates a process that has died: its ports refuse connections.
 func (n *node) kill() {
 	_ = n.listen.Close()
 	n.control.Close()
-	n.pipe.close()
+	n.proxy.close()
 }
 
-// Welcome and Answer make the node a link.Handler.
+// Welcome and Answer implement link.Handler.
 func (*node) Welcome(*wire.Hello) bool { return true }
 
-// Answer asks whichever incarnation is in place.
+// Answer queries the current incarnation.
 func (n *node) Answer(_ string, m wire.Message) wire.Message {
 	return n.guard.Load().Seal(m.(*wire.Seal))
 }
 
-func (w *world) addEntry() {
+func (w *testCluster) addEntry() {
 	start := time.Now()
 	e := entry.New(entry.Config{
-		Peers: link.NewDialer(wire.Hello{}, &link.Counters{}), Observer: nobody{},
+		Peers: link.NewDialer(wire.Hello{}, &link.Counters{}), Observer: discardObserver{},
 		Now: func() time.Duration { return time.Since(start) },
 	})
 	w.entries = append(w.entries, e)
@@ -163,33 +165,33 @@
 	server.Start()
 	w.t.Cleanup(server.Close)
 	w.callers = append(w.callers, server.URL)
-	w.show(e)
+	w.setView(e)
 }
 
-// show gives an entry the nodes as they stand, with identities still to be learnt.
-func (w *world) show(e *entry.Entry) {
+// setView gives an entry a View of the current nodes, whose identities are not known yet.
+func (w *testCluster) setView(e *entry.Entry) {
 	var targets []*pick.Target
 	for i, n := range w.nodes {
 		targets = append(targets, &pick.Target{
 			Place: pick.Place{VM: fmt.Sprint("vm", i), Zone: "z", Region: "r"}, Slots: 64, Connections: 200,
-			Distance: place.SameZone, Guard: n.pipe.address, Control: n.address, Stat: &pick.Stat{},
+			Distance: place.SameZone, Guard: n.proxy.address, Control: n.address, Stat: &pick.Stat{},
 		})
 	}
 	svc := pick.NewService(w.config.Services["s"], targets, targets, len(targets), &pick.Shared{})
 	e.SetView(&pick.View{Config: w.config, Here: pick.Place{VM: "outside", Zone: "z", Region: "r"}, Services: map[string]*pick.Service{"s": svc}})
 }
 
-// answer is what a caller got. err is trouble with the answer's body.
+// answer is the answer that a caller received. err is an error while reading its body.
 type answer struct {
-	status           int
-	body             string
-	err              error
-	outcome, kind    string
-	ticket, retryFor string
+	status             int
+	body               string
+	err                error
+	outcome, kind      string
+	ticket, retryAfter string
 }
 
 // ask sends a request through an entry; pairs are header names and values.
-func (w *world) ask(entry int, method, path, body string, pairs ...string) answer {
+func (w *testCluster) ask(entry int, method, path, body string, pairs ...string) answer {
 	req, err := http.NewRequest(method, w.callers[entry]+path, strings.NewReader(body))
 	require.NoError(w.t, err)
 	req.Header.Set(headers.Service, "s")
@@ -204,33 +206,33 @@
 	text, err := io.ReadAll(resp.Body)
 	return answer{
 		status: resp.StatusCode, body: string(text), err: err, outcome: resp.Header.Get(headers.Outcome),
-		kind: resp.Header.Get(headers.Kind), ticket: resp.Header.Get(headers.Ticket), retryFor: resp.Header.Get("Retry-After"),
+		kind: resp.Header.Get(headers.Kind), ticket: resp.Header.Get(headers.Ticket), retryAfter: resp.Header.Get("Retry-After"),
 	}
 }
 
-// pipe passes TCP on, until it is told not to.
-type pipe struct {
+// tcpProxy forwards TCP connections until a test stalls, resets or closes them.
+type tcpProxy struct {
 	listen  net.Listener
 	address string
 	target  string
 	mu      sync.Mutex
 	conns   []net.Conn
-	// silent is closed to stop the connections open now, which stay open.
-	silent chan struct{}
-	// resetAnswers resets a connection at the first byte of an answer.
+	// stalled is closed to stall the connections that are open now; they stay open.
+	stalled chan struct{}
+	// resetAnswers makes the proxy reset a connection at the first byte of an answer.
 	resetAnswers bool
 }
 
-func newPipe(t *testing.T, target string) *pipe {
+func newTCPProxy(t *testing.T, target string) *tcpProxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	p := &pipe{listen: l, address: l.Addr().String(), target: target, silent: make(chan struct{})}
+	p := &tcpProxy{listen: l, address: l.Addr().String(), target: target, stalled: make(chan struct{})}
 	go p.serve(l)
 	return p
 }
 
-// reopen takes connections again after close, at the same address.
-func (p *pipe) reopen(t *testing.T) {
+// reopen accepts connections again after close, at the same address.
+func (p *tcpProxy) reopen(t *testing.T) {
 	l, err := net.Listen("tcp", p.address)
 	require.NoError(t, err)
 	p.mu.Lock()
@@ -239,14 +241,14 @@
 	go p.serve(l)
 }
 
-// accepted counts the connections since the pipe was opened.
-func (p *pipe) accepted() int {
+// accepted returns the number of connections since the proxy was opened.
+func (p *tcpProxy) accepted() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns) / 2
 }
 
-func (p *pipe) serve(l net.Listener) {
+func (p *tcpProxy) serve(l net.Listener) {
 	for {
 		in, err := l.Accept()
 		if err != nil {
@@ -259,14 +261,14 @@
 		}
 		p.mu.Lock()
 		p.conns = append(p.conns, in, out)
-		silent := p.silent
+		stalled := p.stalled
 		p.mu.Unlock()
-		go p.pass(out, in, silent, false)
-		go p.pass(in, out, silent, true)
+		go p.forward(out, in, stalled, false)
+		go p.forward(in, out, stalled, true)
 	}
 }
 
-func (p *pipe) pass(to, from net.Conn, silent chan struct{}, answers bool) {
+func (p *tcpProxy) forward(to, from net.Conn, stalled chan struct{}, answers bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
@@ -274,7 +276,7 @@
 		reset := answers && p.resetAnswers
 		p.mu.Unlock()
 		select {
-		case <-silent:
+		case <-stalled:
 			return
 		default:
 		}
@@ -288,28 +290,28 @@
 	}
 }
 
-// silence stops the connections open now for good; new ones work.
-func (p *pipe) silence() {
+// stall permanently stops forwarding on the connections open now; new ones work.
+func (p *tcpProxy) stall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	close(p.silent)
-	p.silent = make(chan struct{})
+	close(p.stalled)
+	p.stalled = make(chan struct{})
 }
 
-func (p *pipe) loseAnswers(lose bool) {
+func (p *tcpProxy) setResetAnswers(lose bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.resetAnswers = lose
 }
 
-func (p *pipe) close() {
+func (p *tcpProxy) close() {
 	p.mu.Lock()
 	_ = p.listen.Close()
 	p.mu.Unlock()
 	p.reset()
 }
 
-func (p *pipe) reset() {
+func (p *tcpProxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -10,20 +10,19 @@
 	"github.com/limpetdock/limpetdock/internal/attempt"
 )
 
-// backlog is how long after a pause connections are still taken for ones that
-// were opened during it and waited to be accepted.
-const backlog = time.Second
+// acceptDelay is how long after a pause an accepted connection may still be one that was
+// opened during the pause and waited to be accepted.
+const acceptDelay = time.Second
 
-// heartbeat notices that the process was paused. A request that was sent to it
-// before may have waited in a socket's buffer for longer than its key's records
-// last, and looks as if it came just now. It shows as a beat that is late. By
-// the wall clock too, as the monotonic one stands still while a VM is suspended.
-// Safe for concurrent use.
+// heartbeat detects that the process was paused, by a late call of Beat. A request sent before
+// or during a pause may have waited in a socket's buffer for longer than the records of its
+// key are kept, and would look new. The wall clock is compared too, because the monotonic
+// clock stops while a VM is suspended. Safe for concurrent use.
 type heartbeat struct {
 	mu   sync.Mutex
 	last time.Time
-	// woke is when the last long pause ended.
-	woke time.Time
+	// resumed is when the last long pause ended.
+	resumed time.Time
 }
 
 // Beat must be called often.
@@ -36,23 +35,23 @@
 func (p *heartbeat) beat(now time.Time) {
 	late := now.Sub(p.last) > attempt.KeyPause || now.Round(0).Sub(p.last.Round(0)) > attempt.KeyPause
 	if late && !p.last.IsZero() {
-		p.woke = now
+		p.resumed = now
 	}
 	p.last = now
 }
 
-// Doubts says whether what is read at now from a connection may be older than
-// the last pause.
-func (p *heartbeat) Doubts(opened, now time.Time) bool {
+// MayPredatePause reports whether data read at now from a connection opened at opened may have
+// been sent before the end of the last pause.
+func (p *heartbeat) MayPredatePause(opened, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.beat(now)
-	return !p.woke.IsZero() && opened.Before(p.woke.Add(backlog))
+	return !p.resumed.IsZero() && opened.Before(p.resumed.Add(acceptDelay))
 }
 
 type openedKey struct{}
 
-// ConnContext keeps when a caller's connection was accepted, for http.Server.
+// ConnContext records when a caller's connection was accepted, for http.Server.
 func ConnContext(ctx context.Context, _ net.Conn) context.Context {
 	return context.WithValue(ctx, openedKey{}, time.Now())
 }
--- a/internal/entry/heartbeat_test.go
+++ b/internal/entry/heartbeat_test.go
@@ -9,9 +9,9 @@
 	"github.com/limpetdock/limpetdock/internal/attempt"
 )
 
-// A node is frozen for an hour. Confirmations that were sent to it before wait
-// in its sockets, and look new when it wakes, though their keys are long forgotten.
-func TestAPauseCastsDoubtOnOlderConnections(t *testing.T) {
+// A node is frozen for an hour. Requests sent to it before wait in its sockets and look new
+// when it resumes, although the records of their keys have been deleted.
+func TestConnectionsOpenedBeforePauseEndedAreRecognized(t *testing.T) {
 	start := time.Now()
 	cases := []struct {
 		name          string
@@ -20,8 +20,8 @@
 	}{
 		{"a short pause is within the slack of records", attempt.KeyPause, 0, false},
 		{"a connection from before a long pause", time.Hour, 0, true},
-		{"one that waited to be accepted", time.Hour, time.Hour + backlog/2, true},
-		{"one opened after it", time.Hour, time.Hour + 2*backlog, false},
+		{"one that waited during the pause to be accepted", time.Hour, time.Hour + acceptDelay/2, true},
+		{"one opened after it", time.Hour, time.Hour + 2*acceptDelay, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -31,7 +31,7 @@
 			if c.opened > c.pause {
 				p.Beat(start.Add(c.pause))
 			}
-			require.Equal(t, c.want, p.Doubts(start.Add(c.opened), now))
+			require.Equal(t, c.want, p.MayPredatePause(start.Add(c.opened), now))
 		})
 	}
 }
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -13,29 +13,28 @@
 	"github.com/limpetdock/limpetdock/internal/suspect"
 )
 
-// phase is how far the race between the two copies of a request has come.
+// phase is the state of the two copies of a request.
 type phase uint8
 
 const (
-	// armed: the second copy waits for its time.
+	// armed: the second copy waits for its timer.
 	armed phase = iota
-	// running: both are, or the second one has failed and the first goes on.
+	// running: both copies are in progress, or the second one has failed and the first goes
+	// on.
 	running
-	// won: the second copy's answer is the request's.
+	// won: the second copy's answer is used.
 	won
-	// settled: the first copy has ended, and no second one starts or counts any more.
+	// settled: the first copy has ended; no second copy is started or used any more.
 	settled
 )
 
-// hedge sends a second copy of an idempotent request that takes longer than
-// most to another target; the first good answer holds and the other copy is cancelled
-// (Dean and Barroso, "The Tail at Scale", CACM 56(2), 2013). It guards against a server
-// that slows down, freezes or loses track of a connection with the request in
-// flight, which no choice of a target can foresee: the caller would wait until its deadline.
-//
-// The first copy runs on the caller's goroutine, and only when the timer fires
-// is there another one; so an answer that comes in time costs no more than the timer.
-// mu guards all fields but the two flags.
+// hedge sends a second copy of an idempotent request to another target if the first takes
+// longer than most. The first usable answer is returned and the other copy is cancelled (Dean
+// and Barroso, "The Tail at Scale", CACM 56(2), 2013). It helps if a server slows down,
+// freezes or loses a connection while the request is in flight. Choosing a target can't
+// prevent that, and the caller would wait until its deadline. The first copy runs on the
+// caller's goroutine, and another goroutine starts only when the timer fires, so a fast answer
+// costs only the timer. mu guards all fields but the two flags.
 type hedge struct {
 	entry *Entry
 	timer *time.Timer
@@ -52,30 +51,31 @@
 	done   chan struct{}
 	copy   reply
 
-	// firstLost and copyLost say that a copy was cancelled because the other answered.
-	firstLost, copyLost atomic.Bool
+	// firstCancelled and copyCancelled are true if a copy was cancelled because the other one
+	// answered.
+	firstCancelled, copyCancelled atomic.Bool
 }
 
-// newHedge returns a hedge for an entry's pool, which keeps those whose copy
-// never started. One that did may still be in use by its goroutine.
+// newHedge returns a hedge for an entry's pool. Only hedges whose copy never started return to
+// the pool; others may still be in use by their goroutine.
 func newHedge() any {
 	h := &hedge{}
-	h.timer = time.AfterFunc(time.Hour, h.fire)
+	h.timer = time.AfterFunc(time.Hour, h.run)
 	h.timer.Stop()
 	return h
 }
 
-// mayHedge says whether a second copy of the request may be sent at all: of one
-// that can be sent again whole, under no key or ticket, and of which no like has crashed
-// a backend server: such a one must not run in two places.
+// mayHedge reports whether a second copy of the request may be sent at all. The request must
+// be repeatable as a whole and have no key or ticket. No similar request may have crashed a
+// backend server, as such a request must not run in two places.
 func (x *request) mayHedge() bool {
-	return x.service.HedgePercent > 0 && !x.once && !x.stream && !x.suspected && !x.hedged &&
+	return x.service.HedgePercent > 0 && !x.atMostOnce && !x.stream && !x.suspected && !x.hedged &&
 		x.key == "" && x.ticket == nil && len(x.service.Targets) > 1
 }
 
-// arm starts the wait for the second copy, or returns nil if there is to be none:
-// nothing below a copy or a retry is copied again.
-func (e *Entry) arm(ctx context.Context, v *pick.View, x *request, tried []*pick.Target) *hedge {
+// startHedgeTimer starts the timer of the second copy. It returns nil if there is to be none:
+// a request that is itself a copy or a retry, or was caused by one, is not hedged.
+func (e *Entry) startHedgeTimer(ctx context.Context, v *pick.View, x *request, tried []*pick.Target) *hedge {
 	after := x.service.HedgeAfter()
 	if after == 0 || !x.chain.Fresh() {
 		return nil
@@ -88,22 +88,22 @@
 	return h
 }
 
-// fire runs on a goroutine of its own once the first copy has taken too long.
-func (h *hedge) fire() {
+// run is called on its own goroutine when the timer fires.
+func (h *hedge) run() {
 	out := h.start()
 	if out == nil {
 		return
 	}
-	defer h.entry.copies.Done()
-	h.finish(h.entry.offerCopy(out.Context(), h.view, h.target, out, &h.copyLost))
+	defer h.entry.runningHedges.Done()
+	h.finish(h.entry.sendAndBuffer(out.Context(), h.view, h.target, out, &h.copyCancelled))
 }
 
-// start decides whether the second copy is sent, pays for it and gives it.
+// start decides whether the second copy is sent, charges the budget for it and returns it.
 func (h *hedge) start() *http.Request {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	e, x := h.entry, h.x
-	if h.phase != armed || h.ctx.Err() != nil || e.crashed(x) {
+	if h.phase != armed || h.ctx.Err() != nil || e.becameSuspect(x) {
 		return nil
 	}
 	ask := &pick.Ask{Draw: pick.Draw{Now: e.now(), Rand: pick.SharedRand}, Tried: h.tried}
@@ -111,7 +111,7 @@
 	if target == nil || !x.account.Hedge() {
 		return nil
 	}
-	// The copy goes down the call chain as a retry does.
+	// The copy uses one retry of the call chain, as a retry does.
 	x.chain--
 	x.hedged = true
 	out, _ := x.outgoing()
@@ -119,45 +119,45 @@
 	deadline, _ := h.ctx.Deadline()
 	ctx, cancel := context.WithDeadline(x.in.Context(), deadline)
 	h.phase, h.target, h.cancel, h.done = running, target, cancel, make(chan struct{})
-	e.copies.Add(1)
+	e.runningHedges.Add(1)
 	return out.WithContext(ctx)
 }
 
-// crashed says whether requests like this one crashed a backend server since it
+// becameSuspect reports whether similar requests have crashed a backend server since this one
 // was admitted.
-func (e *Entry) crashed(x *request) bool {
+func (e *Entry) becameSuspect(x *request) bool {
 	v := e.view.Load()
 	return len(v.Suspects) > 0 && v.Suspects[x.print()].Level != suspect.Innocent
 }
 
-// finish takes the second copy's result. A good one ends the first copy; one that
-// comes after the first has answered is dropped unread.
+// finish records the second copy's result. A usable one ends the first copy; one that comes
+// after the first has answered is discarded.
 func (h *hedge) finish(r reply) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	defer close(h.done)
 	h.x.account.Offered(r.refused())
-	if r.err != nil || r.held != nil {
+	if r.err != nil || r.buffered != nil {
 		h.cancel()
 	} else {
 		r.cancel = h.cancel
 	}
 	if h.phase == settled {
-		r.drop()
+		r.discard()
 		return
 	}
 	h.copy = r
-	if r.good() {
+	if r.usable() {
 		h.phase = won
 		h.x.account.HedgeWon()
-		h.firstLost.Store(true)
+		h.firstCancelled.Store(true)
 		h.x.cancel()
 	}
 }
 
-// settle takes the first copy's result and gives the request's, once there is
-// one. What else went wrong is noted in s.
-func (h *hedge) settle(first reply, s *search) reply {
+// settle combines the first copy's result with the second's and returns the result of the
+// request. Other errors are recorded in s.
+func (h *hedge) settle(first reply, s *attemptState) reply {
 	if h.timer.Stop() {
 		h.recycle()
 		return first
@@ -171,56 +171,56 @@
 	s.tried = append(s.tried, h.target)
 	switch {
 	case h.phase == won:
-	case first.good():
+	case first.usable():
 		return h.firstWins(first)
 	case first.err != nil && first.err.Death != 0:
-		// The second copy may be killing its server too. Cancelled in time it
-		// doesn't, and the request goes on alone, as one without a copy does.
+		// The second copy may crash its server too. Cancelling it in time prevents that, and
+		// the request is retried alone, as one without a copy is.
 		h.cancel()
 	}
 	h.mu.Unlock()
 	<-h.done
-	return h.better(first, s)
+	return h.chooseResult(first, s)
 }
 
-// firstWins cancels the second copy. The mutex is held.
+// firstWins cancels the second copy. The caller must hold mu; firstWins unlocks it.
 func (h *hedge) firstWins(first reply) reply {
 	defer h.mu.Unlock()
 	h.phase = settled
-	h.copyLost.Store(true)
+	h.copyCancelled.Store(true)
 	h.cancel()
-	h.copy.drop()
+	h.copy.discard()
 	if h.copy.err != nil {
-		h.entry.noteDeath(h.x, h.copy.err)
+		h.entry.reportDeath(h.x, h.copy.err)
 	}
 	return first
 }
 
-// better chooses among two results, neither of which is a good answer of the
-// first copy: a good answer, else one that a backend server gave, else the
-// error that says less.
-func (h *hedge) better(first reply, s *search) reply {
+// chooseResult chooses between two results if the first copy has no usable answer. It prefers
+// a usable answer, then any answer of a backend server, then an error that doesn't report "not
+// run".
+func (h *hedge) chooseResult(first reply, s *attemptState) reply {
 	second := h.copy
 	switch {
-	case second.err == nil && (second.good() || first.err != nil):
-		if !h.firstLost.Load() {
-			s.note(first.err)
+	case second.err == nil && (second.usable() || first.err != nil):
+		if !h.firstCancelled.Load() {
+			s.recordError(first.err)
 		}
-		first.drop()
+		first.discard()
 		return second
 	case first.err == nil:
-		s.note(second.err)
-		second.drop()
+		s.recordError(second.err)
+		second.discard()
 		return first
 	case first.err.Said() == kind.NotRun && second.err.Said() != kind.NotRun:
-		s.note(first.err)
+		s.recordError(first.err)
 		return second
 	}
-	s.note(second.err)
+	s.recordError(second.err)
 	return first
 }
 
-// recycle keeps a hedge whose timer was stopped in time for another request.
+// recycle returns a hedge to the pool if its timer was stopped before it fired.
 func (h *hedge) recycle() {
 	h.mu.Lock()
 	pool := &h.entry.hedges
@@ -229,12 +229,12 @@
 	pool.Put(h)
 }
 
-// WaitCopies waits until no second copy is left, or ctx ends. A cancelled one
-// outlives its request by moments.
+// WaitHedges waits until no second copy is running, or ctx ends. A cancelled copy may run
+// slightly longer than its request.
 func (e *Entry) WaitCopies(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		e.copies.Wait()
+		e.runningHedges.Wait()
 		close(done)
 	}()
 	select {
--- a/internal/entry/hedge_death_test.go
+++ b/internal/entry/hedge_death_test.go
@@ -14,21 +14,22 @@
 	"github.com/limpetdock/limpetdock/internal/suspect"
 )
 
-// A backend server died with a request, and its next try takes long. The news has not
-// come back by gossip yet; a copy would put a second server at risk all the same.
-func TestNoCopyAfterADeath(t *testing.T) {
+// A backend server died while it ran a request, and the retry takes long. The suspicion has
+// not arrived by gossip yet, but a second copy would already endanger another server.
+func TestNoHedgeAfterBackendDeath(t *testing.T) {
 	e := &Entry{}
 	x := &request{service: &pick.Service{
 		Service: &config.Service{Service: fleet.Service{HedgePercent: 5}}, Targets: make([]*pick.Target, 2),
 	}}
 	require.True(t, x.mayHedge())
-	s := search{entry: e, x: x}
-	s.note(died())
+	s := attemptState{entry: e, x: x}
+	s.recordError(deathError())
 	require.False(t, x.mayHedge())
 }
 
-// The news does come by gossip, while the first copy runs and the second one waits.
-func TestNoCopyOfWhatGossipSuspects(t *testing.T) {
+// The suspicion arrives by gossip while the first copy runs and the second one waits for its
+// timer.
+func TestNoHedgeOfRequestSuspectedMeanwhile(t *testing.T) {
 	r := httptest.NewRequest(http.MethodGet, "/x", nil)
 	x := &request{in: r, service: &pick.Service{Service: &config.Service{Service: fleet.Service{Name: "s"}}}}
 	e := &Entry{}
@@ -38,7 +39,7 @@
 	require.Equal(t, armed, h.phase)
 }
 
-func died() *kind.Error {
+func deathError() *kind.Error {
 	err := kind.New(kind.BackendDied, "died")
 	err.Death = 7
 	return err
--- a/internal/entry/hedge_play_test.go
+++ b/internal/entry/hedge_play_test.go
@@ -21,37 +21,37 @@
 	"github.com/limpetdock/limpetdock/internal/place"
 )
 
-// offer is one copy of a request at a stand-in for the guards.
-type offer struct {
+// hedgeAttempt is one copy of a request at the server that replaces the guards.
+type hedgeAttempt struct {
 	http.ResponseWriter
 	r *http.Request
-	*hedged
+	*hedgeFixture
 }
 
-// hedged is an entry whose service answers in microseconds as a rule, so that a
-// copy of a slower request is sent after the shortest wait there is.
-type hedged struct {
+// hedgeFixture is an entry whose service usually answers in microseconds, so that a copy of a
+// slower request is sent after the shortest possible delay.
+type hedgeFixture struct {
 	*testing.T
-	entry  *entry.Entry
-	view   *pick.View
-	offers atomic.Int32
-	// first is closed when the first copy arrives, came when the second does, gone
-	// when the second one's handler has ended.
-	first, came, gone chan struct{}
-	plays             []func(offer)
-
-	firstOnce, cameOnce, goneOnce func()
+	entry    *entry.Entry
+	view     *pick.View
+	attempts atomic.Int32
+	// firstArrived is closed when the first copy arrives, secondArrived when the second does,
+	// and secondEnded when the second one's handler has returned.
+	firstArrived, secondArrived, secondEnded chan struct{}
+	handlers                                 []func(hedgeAttempt)
+
+	firstArrivedOnce, secondArrivedOnce, secondEndedOnce func()
 }
 
-// share is how many of 100 requests may be hedged.
-const share = 5
+// hedgePercent is how many of 100 requests may be hedged.
+const hedgePercent = 5
 
-// newHedged plays the first copy by the first of plays, the second by the
-// second, and tries after those by the third; the last of plays goes on.
-func newHedged(t *testing.T, change func(*fleet.Service), plays ...func(offer)) *hedged {
+// newHedgeFixture serves the first copy with the first handler, the second copy with the
+// second, and retries with the third; the last handler also serves all further attempts.
+func newHedgeFixture(t *testing.T, change func(*fleet.Service), handlers ...func(hedgeAttempt)) *hedgeFixture {
 	f := fleet.Fleet{
 		Name: "shop", Revision: 1, Zones: []fleet.Zone{{Name: "a", Region: "r"}}, Teams: []fleet.Team{{Name: "store"}},
-		Services: []fleet.Service{{Name: "orders", Team: "store", Timeout: 10 * time.Minute, HedgePercent: share, Routes: []fleet.Route{
+		Services: []fleet.Service{{Name: "orders", Team: "store", Timeout: 10 * time.Minute, HedgePercent: hedgePercent, Routes: []fleet.Route{
 			{Name: "read", Methods: []string{"GET", "PUT"}, Path: "/*", Idempotent: true},
 		}}},
 	}
@@ -59,10 +59,10 @@
 		f.Services[0].Targets = append(f.Services[0].Targets, fleet.Target{VM: fmt.Sprint("vm-", i), Zone: "a", Slots: 4})
 	}
 	change(&f.Services[0])
-	h := &hedged{T: t, plays: plays, first: make(chan struct{}), came: make(chan struct{}), gone: make(chan struct{})}
-	h.firstOnce = sync.OnceFunc(func() { close(h.first) })
-	h.cameOnce = sync.OnceFunc(func() { close(h.came) })
-	h.goneOnce = sync.OnceFunc(func() { close(h.gone) })
+	h := &hedgeFixture{T: t, handlers: handlers, firstArrived: make(chan struct{}), secondArrived: make(chan struct{}), secondEnded: make(chan struct{})}
+	h.firstArrivedOnce = sync.OnceFunc(func() { close(h.firstArrived) })
+	h.secondArrivedOnce = sync.OnceFunc(func() { close(h.secondArrived) })
+	h.secondEndedOnce = sync.OnceFunc(func() { close(h.secondEnded) })
 	server := httptest.NewServer(h)
 	t.Cleanup(server.Close)
 	c := assemble(t, f)
@@ -79,38 +79,38 @@
 	}
 	h.view = &pick.View{Config: c, Here: pick.Place{VM: "x", Zone: "a", Region: "r"}, Services: map[string]*pick.Service{"orders": s}}
 	start := time.Now()
-	h.entry = entry.New(entry.Config{Peers: patientPeers{}, Observer: nobody{}, Now: func() time.Duration { return time.Since(start) }})
+	h.entry = entry.New(entry.Config{Peers: runningPeers{}, Observer: discardObserver{}, Now: func() time.Duration { return time.Since(start) }})
 	h.entry.SetView(h.view)
 	t.Cleanup(h.entry.Close)
 	return h
 }
 
-// ServeHTTP takes a copy as a guard does.
-func (h *hedged) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	h.offers.Add(1)
-	// The first copy carries all of the chain's retries, wherever it arrives first.
+// ServeHTTP handles a copy as a guard does.
+func (h *hedgeFixture) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h.attempts.Add(1)
+	// The first copy carries all retries of the chain, in whichever order the copies arrive.
 	left, _ := strconv.Atoi(r.Header.Get(headers.RetriesLeft))
 	n := budget.ChainRetries - left
 	switch n {
 	case 0:
-		h.firstOnce()
+		h.firstArrivedOnce()
 	case 1:
-		h.cameOnce()
-		defer h.goneOnce()
+		h.secondArrivedOnce()
+		defer h.secondEndedOnce()
 	}
-	// The context of a request ends with its connection only once its body is read.
+	// The context of a request ends with its connection only after its body is read.
 	_, _ = io.Copy(io.Discard, r.Body)
-	if n == 1 && len(h.plays) > 1 {
-		// On a busy machine the second copy may be here before the first one is sent,
-		// and its answer would call that one back unsent.
-		offer{w, r, h}.await(h.first)
+	if n == 1 && len(h.handlers) > 1 {
+		// On a busy machine the second copy may arrive before the first is sent, and its
+		// answer would cancel the first before that.
+		hedgeAttempt{w, r, h}.await(h.firstArrived)
 	}
 	w.Header().Set(headers.Exchange, r.Header.Get(headers.Exchange))
 	w.Header().Set("X-Seen", r.Header.Get(headers.RetriesLeft))
-	h.plays[min(n, len(h.plays)-1)](offer{w, r, h})
+	h.handlers[min(n, len(h.handlers)-1)](hedgeAttempt{w, r, h})
 }
 
-func (h *hedged) ask(method, body string, pairs ...string) *httptest.ResponseRecorder {
+func (h *hedgeFixture) ask(method, body string, pairs ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, "/x", strings.NewReader(body))
 	r.Header.Set(headers.Service, "orders")
 	for i := 0; i < len(pairs); i += 2 {
@@ -118,67 +118,67 @@
 	}
 	w := httptest.NewRecorder()
 	h.entry.ServeHTTP(w, r)
-	// Copies that lost are waited for, as by a node that stops.
+	// Wait for cancelled copies, as a node does when it stops.
 	h.entry.WaitCopies(h.Context())
 	return w
 }
 
-func (h *hedged) counts() budget.HedgeCounts { return h.entry.RetryUses()[0].Hedges }
+func (h *hedgeFixture) counts() budget.HedgeCounts { return h.entry.RetryUses()[0].Hedges }
 
-// inFlight is how many copies the entry waits for.
-func (h *hedged) inFlight() (n int32) {
+// inFlight returns the number of copies in flight.
+func (h *hedgeFixture) inFlight() (n int32) {
 	for _, t := range h.view.Services["orders"].Targets {
 		n += t.Stat.InFlight.Load()
 	}
 	return n
 }
 
-// await waits for c, or for the copy to be cancelled.
-func (o offer) await(c <-chan struct{}) {
+// await waits for c, or until the copy is cancelled.
+func (o hedgeAttempt) await(c <-chan struct{}) {
 	select {
 	case <-c:
 	case <-o.r.Context().Done():
 	}
 }
 
-func says(text string) func(offer) {
-	return func(o offer) { _, _ = io.WriteString(o, text) }
+func answersWith(text string) func(hedgeAttempt) {
+	return func(o hedgeAttempt) { _, _ = io.WriteString(o, text) }
 }
 
-// freezes answers only to being cancelled.
-func freezes(o offer) { <-o.r.Context().Done() }
+// freezes doesn't answer until the copy is cancelled.
+func freezes(o hedgeAttempt) { <-o.r.Context().Done() }
 
-func breaks(offer) { panic(http.ErrAbortHandler) }
+func breaks(hedgeAttempt) { panic(http.ErrAbortHandler) }
 
-// cuts breaks off within the body.
-func cuts(o offer) {
+// truncates aborts the exchange within the body.
+func truncates(o hedgeAttempt) {
 	o.Header().Set("Content-Length", "100")
-	says("half")(o)
+	answersWith("half")(o)
 	_ = http.NewResponseController(o).Flush()
 	breaks(o)
 }
 
-func fails(o offer) { o.WriteHeader(http.StatusInternalServerError) }
+func fails(o hedgeAttempt) { o.WriteHeader(http.StatusInternalServerError) }
 
-func refuses(o offer) { kind.Write(o, kind.New(kind.Overloaded, "full")) }
+func refuses(o hedgeAttempt) { kind.Write(o, kind.New(kind.Overloaded, "full")) }
 
-func dies(o offer) {
+func dies(o hedgeAttempt) {
 	o.Header().Set(headers.Death, "7")
 	kind.Write(o, kind.New(kind.BackendDied, "died"))
 }
 
-// once waits for the second copy to arrive, then does as then says.
-func once(then func(offer)) func(offer) {
-	return func(o offer) {
-		o.await(o.came)
+// afterSecondArrived waits for the second copy to arrive, then calls then.
+func afterSecondArrived(then func(hedgeAttempt)) func(hedgeAttempt) {
+	return func(o hedgeAttempt) {
+		o.await(o.secondArrived)
 		then(o)
 	}
 }
 
-// alone waits until the second copy has failed, then does as then says.
-func alone(then func(offer)) func(offer) {
-	return func(o offer) {
-		o.await(o.gone)
+// afterSecondFailed waits until the second copy has failed, then calls then.
+func afterSecondFailed(then func(hedgeAttempt)) func(hedgeAttempt) {
+	return func(o hedgeAttempt) {
+		o.await(o.secondEnded)
 		for o.inFlight() > 1 && o.r.Context().Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
@@ -186,9 +186,9 @@
 	}
 }
 
-// after waits until the first copy's fate is known to the entry.
-func after(then func(offer)) func(offer) {
-	return func(o offer) {
+// afterFirstEnded waits until the entry has the result of the first copy, then calls then.
+func afterFirstEnded(then func(hedgeAttempt)) func(hedgeAttempt) {
+	return func(o hedgeAttempt) {
 		for o.inFlight() > 1 && o.r.Context().Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/entry/hop.go
+++ b/internal/entry/hop.go
@@ -21,7 +21,7 @@
 	return &u
 }
 
-// choose chooses a target that wasn't tried, or nil.
+// choose chooses a target that wasn't tried, or returns nil.
 func (e *Entry) choose(ctx context.Context, x *request, tried []*pick.Target) *pick.Target {
 	x.ask.Draw = pick.Draw{Now: e.now(), Rand: pick.SharedRand}
 	x.ask.Tried = tried
@@ -31,27 +31,27 @@
 	return x.service.Choose(&x.ask)
 }
 
-// send offers a request to a target and gives the backend server's answer, or
-// the kind of trouble. A nil error comes with an answer whose body must be closed.
+// send sends a request to a target and returns the backend server's answer or an error. If the
+// error is nil, the caller must close the answer's body.
 func (e *Entry) send(ctx context.Context, v *pick.View, t *pick.Target, out *http.Request) (*http.Response, *kind.Error) {
 	return e.sendCopy(ctx, v, t, out, nil)
 }
 
-// sendCopy does as send. lost says that it was cancelled because another copy
-// of the request was answered first; nil is never.
+// sendCopy is like send. lost reports whether the copy was cancelled because another copy of
+// the request was answered first; it may be nil.
 func (e *Entry) sendCopy(ctx context.Context, v *pick.View, t *pick.Target, out *http.Request, lost *atomic.Bool) (*http.Response, *kind.Error) {
 	if deadline, ok := ctx.Deadline(); ok {
-		left := time.Until(deadline).Milliseconds()
-		if left <= 0 {
+		remaining := time.Until(deadline).Milliseconds()
+		if remaining <= 0 {
 			return nil, kind.New(kind.DeadlineNotRun, "the deadline passed before the request was sent")
 		}
-		out.Header.Set(headers.TimeoutMs, strconv.FormatInt(left, 10))
+		out.Header.Set(headers.TimeoutMs, strconv.FormatInt(remaining, 10))
 	}
 	out.URL.Host = t.Guard
 	out.Header.Set(headers.Fleet, v.Config.Fleet())
-	m := t.Begin(e.now(), timed(out))
-	resp, failed := e.offered(ctx, v, t, m, out)
-	outcome := outcomeOf(ctx, resp, failed)
+	m := t.Begin(e.now(), latencyMeasurable(out))
+	resp, failed := e.exchangeAndRecord(ctx, v, t, m, out)
+	outcome := targetOutcome(ctx, resp, failed)
 	if outcome == pick.Neutral && lost != nil && lost.Load() {
 		outcome = pick.Outrun
 	}
@@ -60,35 +60,35 @@
 		t.End()
 		return nil, failed
 	}
-	resp.Body = &countedBody{ReadCloser: resp.Body, target: t}
+	resp.Body = &inFlightBody{ReadCloser: resp.Body, target: t}
 	return resp, nil
 }
 
-// offered makes the exchange and learns from what comes back. A refusal of the
-// guard is an error.
-func (e *Entry) offered(ctx context.Context, v *pick.View, t *pick.Target, m pick.Mark, out *http.Request) (*http.Response, *kind.Error) {
+// exchangeAndRecord sends the request and records what the answer reports about the target. A
+// refusal of the guard is returned as an error.
+func (e *Entry) exchangeAndRecord(ctx context.Context, v *pick.View, t *pick.Target, m pick.Mark, out *http.Request) (*http.Response, *kind.Error) {
 	resp, failed := e.exchange(ctx, v, t, out)
 	if failed != nil {
 		return nil, failed
 	}
 	if v.Local(t) {
-		e.learnLocal(t)
+		e.recordLocalLoad(t)
 	} else {
-		e.learnLoad(t, m, resp.Header)
+		e.recordLoad(t, m, resp.Header)
 	}
 	refusal := kind.Read(resp)
 	if refusal == nil {
 		return resp, nil
 	}
-	learn(t, resp)
-	if f := e.behind.Load(); f != nil && refusal.Kind == kind.StaleConfig {
+	recordIdentity(t, resp)
+	if f := e.onStaleConfig.Load(); f != nil && refusal.Kind == kind.StaleConfig {
 		(*f)(t.Place.VM)
 	}
 	_ = resp.Body.Close()
 	return nil, refusal
 }
 
-// exchange sends the request and gives whatever answer comes.
+// exchange sends the request and returns any answer, also a refusal.
 func (e *Entry) exchange(ctx context.Context, v *pick.View, t *pick.Target, out *http.Request) (*http.Response, *kind.Error) {
 	if v.Local(t) {
 		resp, err := e.local.RoundTrip(out.WithContext(ctx))
@@ -108,10 +108,11 @@
 	}
 	resp.Body = w.answer(resp.Body)
 	if got := resp.Header.Get(headers.Exchange); got != w.ask.Attempt {
-		// Another request's answer. The connection is closed with its rest unread.
+		// This is the answer to another request. The connection is closed without reading the
+		// rest.
 		_ = resp.Body.Close()
 		e.remote.Drop(t.Guard)
-		return nil, kind.New(kind.OutcomeUnknown, "the target answered another request")
+		return nil, kind.New(kind.OutcomeUnknown, "the target sent the answer to another request")
 	}
 	return resp, nil
 }
@@ -121,16 +122,16 @@
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
 		return kind.New(kind.Unreachable, "the target can't be reached").Because(err)
-	case w.silent():
-		return kind.New(kind.OutcomeUnknown, "the connection to the target went silent").Because(errSilent)
+	case w.unresponsive():
+		return kind.New(kind.OutcomeUnknown, "the connection to the target is unresponsive").Because(errUnresponsive)
 	case errors.Is(w.ctx.Err(), context.DeadlineExceeded):
 		return kind.New(kind.DeadlineUnknown, "the deadline passed before an answer came").Because(err)
 	}
-	return kind.New(kind.OutcomeUnknown, "the exchange with the target broke off").Because(err)
+	return kind.New(kind.OutcomeUnknown, "the exchange with the target was interrupted").Because(err)
 }
 
-// learn keeps the identity that a guard tells with its refusals.
-func learn(t *pick.Target, resp *http.Response) {
+// recordIdentity records the identity that a guard reports with its refusals.
+func recordIdentity(t *pick.Target, resp *http.Response) {
 	incarnation, err := strconv.ParseUint(resp.Header.Get(headers.Incarnation), 16, 64)
 	if err != nil {
 		return
--- a/internal/entry/hop_bench_test.go
+++ b/internal/entry/hop_bench_test.go
@@ -23,8 +23,8 @@
 
 const benchService = "bench"
 
-// benchView gives the view of one service on one VM, whose guard is at addr,
-// as the node on the VM here has it. others are targets beside it.
+// benchView returns the view of one service on one VM, whose guard is at addr, as seen by the
+// node on the VM here. others are additional targets.
 func benchView(b *testing.B, here, addr string, others ...*pick.Target) *pick.View {
 	f := fleet.Fleet{
 		Name: "bench", Revision: 1, Zones: []fleet.Zone{{Name: "z", Region: "r"}}, Teams: []fleet.Team{{Name: "t"}},
@@ -54,7 +54,7 @@
 
 func address(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 
-// bench sends GETs to addr one after another over one kept connection.
+// bench sends GET requests to addr one after another over one persistent connection.
 func bench(b *testing.B, addr string, extra map[string]string) {
 	transport := &http.Transport{DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -79,13 +79,13 @@
 	}
 }
 
-type parts struct {
+type benchServers struct {
 	backend, guard, local, remote, hedged string
 }
 
-// newParts starts a backend server, its guard, the entry beside that and one
-// on another VM, each with a listener of its own in this process.
-func newParts(b *testing.B) parts {
+// newBenchServers starts a backend server, its guard, the entry on the same node and entries
+// on another VM, each with its own listener in this process.
+func newBenchServers(b *testing.B) benchServers {
 	start := time.Now()
 	now := func() time.Duration { return time.Since(start) }
 	serve := func(h http.Handler) string {
@@ -93,7 +93,7 @@
 		b.Cleanup(s.Close)
 		return address(s)
 	}
-	var p parts
+	var p benchServers
 	p.backend = serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"answer":"a small one"}`)
 	}))
@@ -108,7 +108,7 @@
 	}{
 		{&p.local, local},
 		{&p.remote, benchView(b, "two", p.guard)},
-		// Nothing is ever sent to a target without an address.
+		// No request is ever sent to a target without an address.
 		{&p.hedged, benchView(b, "two", p.guard, &pick.Target{Distance: place.SameZone, Stat: &pick.Stat{}})},
 	} {
 		e := entry.New(entry.Config{Local: g, Seal: g.Seal, Observer: metrics.New(), Now: now})
@@ -119,10 +119,10 @@
 	return p
 }
 
-// BenchmarkHop measures a call straight to a backend server, through the guard,
-// through entry and guard of one node, and through the entry of another node.
+// BenchmarkHop measures a call directly to a backend server, through the guard, through entry
+// and guard of one node, and through the entry of another node.
 func BenchmarkHop(b *testing.B) {
-	p := newParts(b)
+	p := newBenchServers(b)
 	b.Run("direct", func(b *testing.B) { bench(b, p.backend, nil) })
 	b.Run("guard", func(b *testing.B) { bench(b, p.guard, map[string]string{headers.Exchange: "x-1"}) })
 	b.Run("entry+guard-local", func(b *testing.B) { bench(b, p.local, nil) })
--- a/internal/entry/idempotent.go
+++ b/internal/entry/idempotent.go
@@ -12,25 +12,25 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// maxDeaths is how many backend servers a request may have died with before it
-// is given up: after a first death it goes on to one more target, alone there.
+// maxDeaths is after how many deaths of backend servers a request is still retried: after a
+// first death it is sent to one more target, where it runs alone.
 const maxDeaths = 1
 
-// maxTried bounds the targets one request is offered to, whatever they say.
+// maxTried bounds the targets to which one request is sent, whatever they answer.
 const maxTried = 8
 
-// search is what became of the targets that one request was offered to so far.
-type search struct {
+// attemptState records the attempts of one request so far.
+type attemptState struct {
 	entry *Entry
 	x     *request
 	tried []*pick.Target
-	// ran says that one of them may have run the request.
-	ran          bool
+	// mayHaveRun is true if one of the targets may have run the request.
+	mayHaveRun   bool
 	deaths, hops int
 }
 
-// note takes what went wrong at one of them.
-func (s *search) note(err *kind.Error) {
+// recordError records the error of one attempt.
+func (s *attemptState) recordError(err *kind.Error) {
 	if err == nil {
 		return
 	}
@@ -39,14 +39,14 @@
 	}
 	if err.Death != 0 {
 		s.deaths++
-		s.entry.noteDeath(s.x, err)
+		s.entry.reportDeath(s.x, err)
 	}
-	s.ran = s.ran || err.Said() != kind.NotRun
+	s.mayHaveRun = s.mayHaveRun || err.Said() != kind.NotRun
 }
 
-// serveIdempotent offers a request to targets until one gives a whole answer.
+// serveIdempotent sends a request to targets until one returns a complete answer.
 func (e *Entry) serveIdempotent(ctx context.Context, w http.ResponseWriter, v *pick.View, x *request) *kind.Error {
-	s := search{entry: e, x: x}
+	s := attemptState{entry: e, x: x}
 	var last *kind.Error
 	for s.hops < x.hops && len(s.tried) < maxTried {
 		t := e.choose(ctx, x, s.tried)
@@ -54,79 +54,80 @@
 			break
 		}
 		s.tried = append(s.tried, t)
-		if last != nil && errors.Is(last.Cause, errSilent) {
-			// Whatever lost track of one connection has mostly lost those to the
-			// targets beside it too. On a kept one the request would wait again
-			// until that shows, and so use up its hops and its deadline.
+		if last != nil && errors.Is(last.Cause, errUnresponsive) {
+			// A fault that made one connection unresponsive usually affects those to nearby
+			// targets too. On an existing connection the request would wait until that is
+			// detected, and use up its hops and its deadline.
 			e.remote.Drop(t.Guard)
 		}
-		r := e.offerRead(ctx, v, &s)
+		r := e.attemptIdempotent(ctx, v, &s)
 		if r.err == nil {
 			r.err = r.deliver(w)
 		}
 		if r.err == nil {
-			e.noteRun(x)
+			e.clearSuspect(x)
 			return nil
 		}
 		last = r.err
-		s.note(last)
-		if ctx.Err() != nil || x.begun.Load() {
+		s.recordError(last)
+		if ctx.Err() != nil || x.bodyRead.Load() {
 			break
 		}
-		if !last.MayMove(true) || s.deaths > maxDeaths || !e.mayGoOn(x, last) {
+		if !last.MayMove(true) || s.deaths > maxDeaths || !e.allowNextAttempt(x, last) {
 			break
 		}
 		e.observer.Hopped(x.service.Name, last.Kind)
 	}
-	return conclude(last, s.ran)
+	return finalError(last, s.mayHaveRun)
 }
 
-// offerRead offers a request to the target tried last, and to a second one if
-// that takes long.
-func (e *Entry) offerRead(ctx context.Context, v *pick.View, s *search) reply {
+// attemptIdempotent sends a request to the last target in s.tried, and to a second one if that
+// takes long.
+func (e *Entry) attemptIdempotent(ctx context.Context, v *pick.View, s *attemptState) reply {
 	x, t := s.x, s.tried[len(s.tried)-1]
 	out, _ := x.outgoing()
 	out.Header.Set(headers.Exchange, e.exchangeID())
 	if !x.mayHedge() {
-		return e.offerCopy(ctx, v, t, out, nil)
+		return e.sendAndBuffer(ctx, v, t, out, nil)
 	}
 	start := e.now()
-	h := e.arm(ctx, v, x, s.tried)
+	h := e.startHedgeTimer(ctx, v, x, s.tried)
 	var lost *atomic.Bool
 	if h != nil {
-		lost = &h.firstLost
+		lost = &h.firstCancelled
 	}
-	r := e.offerCopy(ctx, v, t, out, lost)
+	r := e.sendAndBuffer(ctx, v, t, out, lost)
 	x.account.Offered(r.refused())
-	e.noteTime(x, r, e.now()-start)
+	e.recordLatency(x, r, e.now()-start)
 	if h == nil {
 		return r
 	}
 	return h.settle(r, s)
 }
 
-// offerCopy sends a request to a target and reads the answer if it is small.
-func (e *Entry) offerCopy(ctx context.Context, v *pick.View, t *pick.Target, out *http.Request, lost *atomic.Bool) reply {
+// sendAndBuffer sends a request to a target and buffers the answer if it is small.
+func (e *Entry) sendAndBuffer(ctx context.Context, v *pick.View, t *pick.Target, out *http.Request, lost *atomic.Bool) reply {
 	resp, err := e.sendCopy(ctx, v, t, out, lost)
 	if err != nil {
 		return reply{err: err}
 	}
-	return hold(resp)
+	return bufferSmall(resp)
 }
 
-// noteTime takes how long a first copy took, by which later ones are called slow.
-func (e *Entry) noteTime(x *request, r reply, took time.Duration) {
+// recordLatency records the latency of a first copy, from which the hedge delay of later
+// requests is derived.
+func (e *Entry) recordLatency(x *request, r reply, took time.Duration) {
 	switch {
-	case r.good():
+	case r.usable():
 		x.service.Took(took)
 	case r.err != nil && r.err.Said() != kind.NotRun:
 		x.service.TookOver(took)
 	}
 }
 
-// conclude gives the final answer: the last trouble, weakened to unknown when
-// any target may have run the request.
-func conclude(last *kind.Error, ran bool) *kind.Error {
+// finalError returns the error for the caller: the last one, with its outcome changed to
+// unknown if any target may have run the request.
+func finalError(last *kind.Error, ran bool) *kind.Error {
 	if last == nil {
 		return kind.New(kind.NoTarget, "no target can take the request")
 	}
--- a/internal/entry/key.go
+++ b/internal/entry/key.go
@@ -10,33 +10,33 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// keyOffers bounds the offers to the one target of a key or ticket. Later ones
-// are for a home that tells its new identity, and for copies lost on the way.
-const keyOffers = 3
+// maxKeyAttempts bounds the attempts at the only target of a key or ticket. Further attempts
+// are needed if the home reports a new identity, or if a copy was lost on the way.
+const maxKeyAttempts = 3
 
-// serveKey offers a request with a key of the caller's own to the key's home,
-// and to no other target: another one can't know whether a copy has run.
+// serveKey sends a request with a caller's key to the key's home and to no other target,
+// because only the home knows whether a copy has run.
 func (e *Entry) serveKey(ctx context.Context, w http.ResponseWriter, v *pick.View, x *request) *kind.Error {
-	if e.heartbeat.Doubts(openedAt(x.in), time.Now()) {
+	if e.heartbeat.MayPredatePause(openedAt(x.in), time.Now()) {
 		w.Header().Set("Connection", "close")
-		return kind.New(kind.KeyUnknown, "this node was paused and can't tell how old the request is; send it on a new connection")
+		return kind.New(kind.KeyUnknown, "this node was paused and can't determine the request's age; send it on a new connection")
 	}
-	home := homeOf(x)
+	home := keyHome(x)
 	var err *kind.Error
-	for range keyOffers {
+	for range maxKeyAttempts {
 		var body *sentBody
-		body, err = e.offerKey(ctx, w, v, x, home)
+		body, err = e.attemptKey(ctx, w, v, x, home)
 		if err == nil {
 			return nil
 		}
-		if err.Kind != kind.StaleAttempt || x.stream && body.begun.Load() {
+		if err.Kind != kind.StaleAttempt || x.stream && body.bodyRead.Load() {
 			break
 		}
 	}
 	return err
 }
 
-func homeOf(x *request) *pick.Target {
+func keyHome(x *request) *pick.Target {
 	names := make([]string, len(x.service.Homes))
 	for i, t := range x.service.Homes {
 		names[i] = t.Place.VM
@@ -53,34 +53,35 @@
 	return nil
 }
 
-// offerKey reads the home's identity before it checks the request's age: if the
-// process is frozen anywhere in between, either the check or the home's window
-// for ticks refuses, and the copy can't run after its record was forgotten.
-func (e *Entry) offerKey(ctx context.Context, w http.ResponseWriter, v *pick.View, x *request, home *pick.Target) (*sentBody, *kind.Error) {
+// attemptKey reads the home's identity before it checks the request's age. If the process is
+// frozen in between, either the check or the home's window for ticks refuses the copy, so it
+// can't run after its record was deleted.
+func (e *Entry) attemptKey(ctx context.Context, w http.ResponseWriter, v *pick.View, x *request, home *pick.Target) (*sentBody, *kind.Error) {
 	if home == nil || home.Guard == "" {
-		return &sentBody{}, kind.New(kind.Unreachable, "the key's home isn't listed by the platform")
+		return &sentBody{}, kind.New(kind.Unreachable, "the key's home server isn't listed by the platform")
 	}
-	id := identityOf(home)
-	if older(x.arrived, attempt.KeyDelay) {
-		return &sentBody{}, kind.New(kind.KeyUnknown, "the request was held up for too long at this node")
+	id := knownIdentity(home)
+	if olderThan(x.arrived, attempt.KeyDelay) {
+		return &sentBody{}, kind.New(kind.KeyUnknown, "the request was delayed for too long at this node")
 	}
-	return e.offer(ctx, w, v, x, sent{target: home, id: attempt.KeyID(x.key), identity: id})
+	return e.runAttempt(ctx, w, v, x, sentAttempt{target: home, id: attempt.KeyID(x.key), identity: id})
 }
 
-// older compares by both clocks, as the monotonic one stands still while a VM is suspended.
-func older(t time.Time, than time.Duration) bool {
+// olderThan compares by both clocks, because the monotonic clock stops while a VM is
+// suspended.
+func olderThan(t time.Time, than time.Duration) bool {
 	now := time.Now()
 	return now.Sub(t) > than || now.Round(0).Sub(t.Round(0)) > than
 }
 
-// keyed says that other copies of the request may have been sent.
-func (x *request) keyed() bool { return x.once && (x.key != "" || x.ticket != nil) }
+// hasKeyOrTicket reports whether other copies of the request may have been sent.
+func (x *request) hasKeyOrTicket() bool { return x.atMostOnce && (x.key != "" || x.ticket != nil) }
 
-// ofEveryCopy weakens what an entry concluded by itself, be it a limit or a cut
-// upload: "not run" about a ticket or key speaks of every copy, and only its
-// guard can know that.
-func (x *request) ofEveryCopy(err *kind.Error) *kind.Error {
-	if err == nil || x == nil || !x.keyed() {
+// coverAllCopies changes the outcome of an error that the entry itself produced, such as a
+// limit or a truncated upload. For a request with a ticket or key, "not run" would apply to
+// every copy, which only its guard can know; the outcome becomes unknown.
+func (x *request) coverAllCopies(err *kind.Error) *kind.Error {
+	if err == nil || x == nil || !x.hasKeyOrTicket() {
 		return err
 	}
 	if err.Said() == kind.NotRun && !err.FromGuard {
--- a/internal/entry/key_test.go
+++ b/internal/entry/key_test.go
@@ -14,8 +14,8 @@
 	"github.com/limpetdock/limpetdock/internal/headers"
 )
 
-// takeTicket asks an entry for a ticket.
-func (w *world) takeTicket(entry int) string {
+// requestTicket requests a ticket from an entry.
+func (w *testCluster) requestTicket(entry int) string {
 	got := w.ask(entry, "POST", "/", "", headers.Ticket, "request")
 	require.Equal(w.t, http.StatusOK, got.status, got.body)
 	var body struct {
@@ -28,17 +28,17 @@
 	return body.Ticket
 }
 
-// A driver's phone sends a payout, hears nothing, and sends it again through
-// another node while the first copy still runs. Both copies must reach the one
-// process, run once, and bring the same answer; so must a copy that comes later.
+// A caller sends a request, receives no answer, and sends it again through another node while
+// the first copy still runs. All copies must reach the same process, run once, and receive the
+// same answer, also a copy that comes later.
 func TestCopiesThroughTwoNodesRunOnce(t *testing.T) {
 	for _, kind := range []string{"ticket", "own key"} {
 		t.Run(kind, func(t *testing.T) {
-			l := newLedger(t)
-			w := newWorld(t, l.URL, l.URL, l.URL)
+			l := newCountingBackend(t)
+			w := newTestCluster(t, l.URL, l.URL, l.URL)
 			key := "payout-7"
 			if kind == "ticket" {
-				key = w.takeTicket(0)
+				key = w.requestTicket(0)
 			}
 			answers := make([]answer, 6)
 			var wg sync.WaitGroup
@@ -60,78 +60,78 @@
 	}
 }
 
-func TestWhenAKeyOrTicketCantBeHonoured(t *testing.T) {
+func TestUnusableKeyOrTicketIsRefused(t *testing.T) {
 	const key = "confirm-9"
 	cases := []struct {
 		name    string
-		before  func(w *world) string
+		before  func(w *testCluster) string
 		kind    string
 		outcome string
 		retry   bool
 	}{
-		{"the key's home has just been replaced", func(w *world) string {
+		{"the key's home has just been replaced", func(w *testCluster) string {
 			w.nodes[0].start(2, time.Minute)
 			return key
 		}, "key-unknown", "unknown", true},
-		{"the key's home is down: nobody else may run it", func(w *world) string {
+		{"the key's home is down: no other server may run it", func(w *testCluster) string {
 			w.nodes[0].kill()
 			return key
 		}, "unreachable", "unknown", true},
-		{"the key's home is leaving: it seals the key first", func(w *world) string {
+		{"the key's home is leaving: it seals the key first", func(w *testCluster) string {
 			w.nodes[0].guard.Load().SetLeaving(true)
 			return key
 		}, "leaving", "not-run", true},
-		{"a key that was sealed never runs", func(w *world) string {
+		{"a key that was sealed never runs", func(w *testCluster) string {
 			w.nodes[0].guard.Load().SetLeaving(true)
 			w.ask(0, "POST", "/pay", "x", headers.IdempotencyKey, key)
 			w.nodes[0].guard.Load().SetLeaving(false)
 			return key
 		}, "sealed", "not-run", true},
-		{"the process that the ticket names is gone", func(w *world) string {
-			ticket := w.takeTicket(0)
-			w.nodes[0].start(2, old)
+		{"the process that the ticket names has ended", func(w *testCluster) string {
+			ticket := w.requestTicket(0)
+			w.nodes[0].start(2, guardAge)
 			return ticket
 		}, "key-unknown", "unknown", true},
-		{"the process that the ticket names can't be reached", func(w *world) string {
-			ticket := w.takeTicket(0)
+		{"the process that the ticket names can't be reached", func(w *testCluster) string {
+			ticket := w.requestTicket(0)
 			w.nodes[0].kill()
 			return ticket
 		}, "unreachable", "unknown", true},
-		{"a clipped ticket", func(w *world) string {
-			ticket := w.takeTicket(0)
+		{"a truncated ticket", func(w *testCluster) string {
+			ticket := w.requestTicket(0)
 			return ticket[:len(ticket)-3]
 		}, "bad-request", "not-run", false},
-		{"a ticket that never was", func(*world) string { return "ldt1.AAAA" }, "bad-request", "not-run", false},
-		{"a key too long", func(*world) string { return strings.Repeat("k", 201) }, "bad-request", "not-run", false},
+		{"an invalid ticket", func(*testCluster) string { return "ldt1.AAAA" }, "bad-request", "not-run", false},
+		{"a key too long", func(*testCluster) string { return strings.Repeat("k", 201) }, "bad-request", "not-run", false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			l := newLedger(t)
-			w := newWorld(t, l.URL)
+			l := newCountingBackend(t)
+			w := newTestCluster(t, l.URL)
 			got := w.ask(1, "POST", "/pay", "x", headers.IdempotencyKey, c.before(w), headers.TimeoutMs, "600000")
 			require.Equal(t, c.kind, got.kind, got.body)
 			require.Equal(t, c.outcome, got.outcome)
-			require.Equal(t, c.retry, got.retryFor != "")
+			require.Equal(t, c.retry, got.retryAfter != "")
 			require.Zero(t, l.runs.Load())
 		})
 	}
 }
 
-// The payout's connection goes silent before the request has passed. Under a key
-// or ticket another copy can do no harm, so it is sent again over a new
-// connection; sealing it would only use the key up.
-func TestALostCopyIsSentAgainUnderItsKey(t *testing.T) {
+// The connection stalls before the request has been forwarded. Under a key or ticket another
+// copy does no harm, so it must be sent again over a new connection; sealing it would make the
+// key unusable.
+func TestLostCopyIsSentAgainUnderSameKey(t *testing.T) {
 	for _, kind := range []string{"ticket", "own key"} {
 		t.Run(kind, func(t *testing.T) {
-			l := newLedger(t)
-			w := newWorld(t, l.URL)
+			l := newCountingBackend(t)
+			w := newTestCluster(t, l.URL)
 			l.finish <- struct{}{}
 			require.Equal(t, "run 1", w.ask(0, "POST", "/pay", "x").body)
 			key := "payout-8"
 			if kind == "ticket" {
-				key = w.takeTicket(0)
+				key = w.requestTicket(0)
 			}
-			w.nodes[0].pipe.silence()
+			w.nodes[0].proxy.stall()
 			l.finish <- struct{}{}
 			require.Equal(t, "run 2", w.ask(0, "POST", "/pay", "x", headers.IdempotencyKey, key).body)
 			require.EqualValues(t, 2, l.runs.Load())
@@ -139,25 +139,25 @@
 	}
 }
 
-// A home was replaced a minute ago. The answer says when keys are taken again,
-// so that a caller neither gives up nor knocks all the time.
-func TestAYoungHomeSaysWhenItTakesKeys(t *testing.T) {
-	l := newLedger(t)
-	w := newWorld(t, l.URL)
+// A home was replaced a minute ago. The answer must report when keys are accepted again, so
+// that a caller neither gives up nor retries continuously.
+func TestRestartedHomeReportsWhenItAcceptsKeys(t *testing.T) {
+	l := newCountingBackend(t)
+	w := newTestCluster(t, l.URL)
 	w.nodes[0].start(2, time.Minute)
 	got := w.ask(0, "POST", "/pay", "x", headers.IdempotencyKey, "k")
-	wait, err := time.ParseDuration(got.retryFor + "s")
+	wait, err := time.ParseDuration(got.retryAfter + "s")
 	require.NoError(t, err)
 	require.Greater(t, wait, 19*time.Minute)
 	require.LessOrEqual(t, wait, 2*(10*time.Minute+3*attempt.KeyDelay))
 }
 
-// One copy of a payout runs while another is refused before it was offered to
-// anyone: its upload breaks off, or its deadline can't be read. "Not run" would
-// be a lie about the payout, and the driver's phone would send a new one.
-func TestARefusedCopySpeaksOfAllCopies(t *testing.T) {
-	l := newLedger(t)
-	w := newWorld(t, l.URL)
+// One copy of a request has run while another is refused before it was sent to any target,
+// because its deadline can't be parsed or has passed. The outcome "not run" would be wrong,
+// and the caller would send a new request.
+func TestRefusedCopyUnderKeyReportsUnknownOutcome(t *testing.T) {
+	l := newCountingBackend(t)
+	w := newTestCluster(t, l.URL)
 	l.finish <- struct{}{}
 	require.Equal(t, "run 1", w.ask(0, "POST", "/pay", "x", headers.IdempotencyKey, "k").body)
 	for _, timeout := range []string{"soon", "0"} {
@@ -168,9 +168,9 @@
 	}
 }
 
-// Requests for tickets that are none: the caller learns how to ask.
-func TestATicketIsAskedForByPost(t *testing.T) {
-	w := newWorld(t, newLedger(t).URL)
+// Invalid requests for a ticket must be refused as bad requests.
+func TestTicketIsRequestedByPost(t *testing.T) {
+	w := newTestCluster(t, newCountingBackend(t).URL)
 	require.Equal(t, http.StatusBadRequest, w.ask(0, "GET", "/", "", headers.Ticket, "request").status)
 	require.Equal(t, http.StatusBadRequest, w.ask(0, "POST", "/", "", headers.Ticket, "please").status)
 	w.nodes[0].kill()
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -13,11 +13,11 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// serveOnce runs an at-most-once request. A ticket or a key of the caller's own
-// names the one target that may run it; otherwise any may.
+// serveOnce runs an at-most-once request. A request with a ticket or a caller's key may run on
+// one target only; any other may run on any target.
 func (e *Entry) serveOnce(ctx context.Context, w http.ResponseWriter, v *pick.View, x *request) *kind.Error {
-	// The run isn't tied to the caller's connection: a caller that goes away
-	// may come back for the answer.
+	// The run isn't cancelled with the caller's connection: a caller that disconnects may
+	// reconnect to fetch the answer.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), x.timeout)
 	defer cancel()
 	switch {
@@ -29,8 +29,8 @@
 	return e.serveAnywhere(ctx, w, v, x)
 }
 
-// serveAnywhere offers a request to targets. It goes on to another one only on
-// proof that the one before did not and will not run it.
+// serveAnywhere sends a request to targets. It moves on to another one only on proof that the
+// one before did not and will not run it.
 func (e *Entry) serveAnywhere(ctx context.Context, w http.ResponseWriter, v *pick.View, x *request) *kind.Error {
 	var tried []*pick.Target
 	var last *kind.Error
@@ -39,17 +39,17 @@
 		if t == nil {
 			break
 		}
-		// Each offer has an id of its own, so the proof about one says nothing
-		// of, and can't be spoilt by, another.
-		body, err := e.offer(ctx, w, v, x, sent{target: t, id: uuid.NewString(), identity: identityOf(t)})
+		// Each attempt has its own id, so proof about one attempt doesn't apply to another and
+		// can't be invalidated by it.
+		body, err := e.runAttempt(ctx, w, v, x, sentAttempt{target: t, id: uuid.NewString(), identity: knownIdentity(t)})
 		if err == nil || err.Said() != kind.NotRun {
 			return err
 		}
 		last = err
-		if ctx.Err() != nil || x.stream && body.begun.Load() {
+		if ctx.Err() != nil || x.stream && body.bodyRead.Load() {
 			break
 		}
-		if !err.MayMove(false) || !e.mayGoOn(x, err) {
+		if !err.MayMove(false) || !e.allowNextAttempt(x, err) {
 			break
 		}
 		if err.Kind != kind.StaleAttempt {
@@ -57,21 +57,21 @@
 		}
 		e.observer.Hopped(x.service.Name, err.Kind)
 	}
-	return conclude(last, false)
+	return finalError(last, false)
 }
 
-// identityOf gives what is known of the guard; a zero one is refused, and the
-// refusal tells the right one.
-func identityOf(t *pick.Target) pick.Identity {
+// knownIdentity returns the guard's identity as far as it is known. An attempt with the zero
+// identity is refused, and the refusal reports the current one.
+func knownIdentity(t *pick.Target) pick.Identity {
 	if id := t.Stat.Identity(); id != nil {
 		return *id
 	}
 	return pick.Identity{}
 }
 
-// offer makes one attempt at one target and sees it through: its answer is
-// delivered, or its fate is known, or it is known that nobody can tell.
-func (e *Entry) offer(ctx context.Context, w http.ResponseWriter, v *pick.View, x *request, s sent) (*sentBody, *kind.Error) {
+// runAttempt makes one attempt at one target. It returns once the answer is delivered, the
+// outcome is known, or it is certain that the outcome can't be determined.
+func (e *Entry) runAttempt(ctx context.Context, w http.ResponseWriter, v *pick.View, x *request, s sentAttempt) (*sentBody, *kind.Error) {
 	out, body := x.outgoing()
 	out.Header.Set(headers.Attempt, s.id)
 	out.Header.Set(headers.Incarnation, formatHex(s.identity.Incarnation))
@@ -81,21 +81,21 @@
 		err = deliver(w, resp)
 	}
 	if err == nil {
-		e.noteRun(x)
+		e.clearSuspect(x)
 		return body, nil
 	}
-	e.noteDeath(x, err)
-	if !open(err) {
+	e.reportDeath(x, err)
+	if !outcomePending(err) {
 		return body, err
 	}
 	if x.cut(body) {
-		return body, kind.New(kind.BodyCut, "the request's body ended early; a part of it was sent").Because(err)
+		return body, kind.New(kind.BodyCut, "the request's body was truncated; a part of it was sent").Because(err)
 	}
 	if s.identity == (pick.Identity{}) {
-		// No process has this identity, so none has run the attempt.
+		// No process has the zero identity, so none has run the attempt.
 		return body, kind.New(kind.StaleAttempt, "the target's identity isn't known yet").Because(err)
 	}
-	s.again = attempt.ClassOf(s.id) != attempt.Try && !(x.stream && body.begun.Load())
+	s.repeatable = attempt.ClassOf(s.id) != attempt.Try && !(x.stream && body.bodyRead.Load())
 	return body, e.resolve(ctx, w, s)
 }
 
@@ -103,7 +103,7 @@
 func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
 func incarnationOf(h http.Header) uint64 {
-	// What can't be parsed stays 0, which is no incarnation.
+	// A value that can't be parsed yields 0, which is never a valid incarnation.
 	n, _ := strconv.ParseUint(h.Get(headers.Incarnation), 16, 64)
 	return n
 }
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -17,16 +17,17 @@
 	"github.com/limpetdock/limpetdock/internal/headers"
 )
 
-// ledger is a backend server that counts its runs. A run waits for go-ahead.
-type ledger struct {
+// countingBackend is a backend server that counts its runs. Each run waits for a value on
+// finish.
+type countingBackend struct {
 	*httptest.Server
 	runs    atomic.Int32
 	started chan struct{}
 	finish  chan struct{}
 }
 
-func newLedger(t *testing.T) *ledger {
-	l := &ledger{started: make(chan struct{}, 100), finish: make(chan struct{}, 100)}
+func newCountingBackend(t *testing.T) *countingBackend {
+	l := &countingBackend{started: make(chan struct{}, 100), finish: make(chan struct{}, 100)}
 	l.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		run := l.runs.Add(1)
 		l.started <- struct{}{}
@@ -40,8 +41,8 @@
 	return l
 }
 
-// during sends a request and calls f while the backend server runs it.
-func during(w *world, l *ledger, f func(), pairs ...string) answer {
+// whileRunning sends a request and calls f while the backend server runs it.
+func whileRunning(w *testCluster, l *countingBackend, f func(), pairs ...string) answer {
 	got := make(chan answer, 1)
 	go func() { got <- w.ask(0, "POST", "/book", "x", pairs...) }()
 	select {
@@ -53,14 +54,14 @@
 	return <-got
 }
 
-// A loadmaster books cargo. Something between two nodes loses track of the
-// connection: it stays open and nothing passes any more, while new ones work.
-// The booking has run. He must get its answer, and it must not run again.
-func TestAnAnswerOnASilentConnectionIsCollectedOverANewOne(t *testing.T) {
-	l := newLedger(t)
-	w := newWorld(t, l.URL)
-	got := during(w, l, func() {
-		w.nodes[0].pipe.silence()
+// The connection stalls after a non-idempotent request has run: it stays open without
+// transferring data, while new connections work. The caller must receive the answer, and the
+// request must not run again.
+func TestAnswerOnStalledConnectionIsCollectedOverNewOne(t *testing.T) {
+	l := newCountingBackend(t)
+	w := newTestCluster(t, l.URL)
+	got := whileRunning(w, l, func() {
+		w.nodes[0].proxy.stall()
 		l.finish <- struct{}{}
 	})
 	require.Equal(t, "run 1", got.body, got.kind)
@@ -68,17 +69,17 @@
 	require.Positive(t, w.entries[0].Counters().Silent.Load())
 }
 
-// The connection goes silent before the request has passed. The target has
-// never seen it and seals it; only then may it go on to another target.
-func TestARequestLostOnASilentConnectionIsSealed(t *testing.T) {
-	l := newLedger(t)
-	w := newWorld(t, l.URL)
-	// Two requests at once leave two connections kept.
+// The connection stalls before the request has been forwarded. The target has never received
+// it and seals it; only then may it be sent to another target.
+func TestRequestLostOnStalledConnectionIsSealed(t *testing.T) {
+	l := newCountingBackend(t)
+	w := newTestCluster(t, l.URL)
+	// Two concurrent requests leave two idle connections.
 	second := make(chan answer, 1)
-	first := during(w, l, func() {
+	first := whileRunning(w, l, func() {
 		go func() { second <- w.ask(0, "POST", "/book", "x") }()
 		require.Eventually(t, func() bool {
-			// A guard that has just started may let it wait.
+			// A guard that has just started may queue the second request.
 			return len(l.started) > 0 || w.nodes[0].guard.Load().Load().Waiting > 0
 		}, time.Minute, time.Millisecond)
 		l.finish <- struct{}{}
@@ -86,23 +87,23 @@
 	})
 	require.Equal(t, http.StatusOK, first.status)
 	require.Equal(t, http.StatusOK, (<-second).status)
-	w.nodes[0].pipe.silence()
+	w.nodes[0].proxy.stall()
 	got := w.ask(0, "POST", "/book", "x")
-	require.Equal(t, "sealed", got.kind, "there is no other target, so the seal is the end, and is proof")
+	require.Equal(t, "sealed", got.kind, "there is no other target, so the seal proves that the request has not run")
 	require.Equal(t, "not-run", got.outcome)
 	l.finish <- struct{}{}
 	require.Equal(t, "run 3", w.ask(0, "POST", "/book", "x").body, "the other kept connection isn't used")
 }
 
-// An idempotent read on such a connection is simply sent again elsewhere.
-func TestAReadOnASilentConnectionIsSentAgain(t *testing.T) {
-	l := newLedger(t)
-	w := newWorld(t, l.URL, l.URL)
+// An idempotent read on a stalled connection is sent again to another target.
+func TestReadOnStalledConnectionIsSentAgain(t *testing.T) {
+	l := newCountingBackend(t)
+	w := newTestCluster(t, l.URL, l.URL)
 	got := make(chan answer)
 	go func() { got <- w.ask(0, "GET", "/read", "") }()
 	<-l.started
 	for _, n := range w.nodes {
-		n.pipe.silence()
+		n.proxy.stall()
 	}
 	l.finish <- struct{}{}
 	l.finish <- struct{}{}
@@ -110,23 +111,23 @@
 	require.EqualValues(t, 2, l.runs.Load())
 }
 
-// The connection is reset before the answer, which net/http's transport would
-// take as leave to send a bodiless request again. The copy would find a record,
-// be told "not run", and go elsewhere.
-func TestABrokenAnswerIsCollectedAndNothingRunsAgain(t *testing.T) {
+// The connection is reset before the answer. net/http's transport would by default repeat a
+// request without a body. That copy would find a record, be answered "not run", and be sent to
+// another target.
+func TestResetAnswerIsCollectedAndRequestRunsOnce(t *testing.T) {
 	for _, method := range []string{"GET", "POST", "DELETE"} {
 		t.Run(method, func(t *testing.T) {
-			l := newLedger(t)
-			w := newWorld(t, l.URL)
+			l := newCountingBackend(t)
+			w := newTestCluster(t, l.URL)
 			l.finish <- struct{}{}
 			require.Equal(t, "run 1", w.ask(0, method, "/book", "").body)
-			w.nodes[0].pipe.loseAnswers(true)
+			w.nodes[0].proxy.setResetAnswers(true)
 			l.finish <- struct{}{}
 			go func() {
 				for w.entries[0].Counters().Resolved.Load() == 0 {
 					time.Sleep(time.Millisecond)
 				}
-				w.nodes[0].pipe.loseAnswers(false)
+				w.nodes[0].proxy.setResetAnswers(false)
 			}()
 			require.Equal(t, "run 2", w.ask(0, method, "/book", "").body)
 			require.EqualValues(t, 2, l.runs.Load())
@@ -134,41 +135,41 @@
 	}
 }
 
-// The node dies with the booking in flight. Nobody can know its fate any more,
-// and the loadmaster is told so at once, not near his deadline ten minutes on.
-func TestADeadNodeIsAnsweredForAtOnce(t *testing.T) {
-	l := newLedger(t)
-	w := newWorld(t, l.URL)
-	got := during(w, l, w.nodes[0].kill, headers.TimeoutMs, "600000")
+// The node dies with a request in flight. Its outcome can't be determined any more, and the
+// caller must be answered so at once, not shortly before its deadline in ten minutes.
+func TestDeadNodeYieldsUnknownOutcomeAtOnce(t *testing.T) {
+	l := newCountingBackend(t)
+	w := newTestCluster(t, l.URL)
+	got := whileRunning(w, l, w.nodes[0].kill, headers.TimeoutMs, "600000")
 	require.Equal(t, "unknown", got.outcome)
 	require.Equal(t, "outcome-unknown", got.kind)
-	require.NotEmpty(t, got.retryFor)
+	require.NotEmpty(t, got.retryAfter)
 }
 
-// The node is replaced within moments: another incarnation answers at its
-// address. It has no record of the booking, which is no proof.
-func TestAnotherIncarnationProvesNothing(t *testing.T) {
-	l := newLedger(t)
-	w := newWorld(t, l.URL)
-	got := during(w, l, func() {
-		w.nodes[0].start(2, old)
-		w.nodes[0].pipe.reset()
+// The node is replaced at once: another incarnation answers at its address. That it has no
+// record of the request is no proof that the request has not run.
+func TestNewIncarnationYieldsUnknownOutcome(t *testing.T) {
+	l := newCountingBackend(t)
+	w := newTestCluster(t, l.URL)
+	got := whileRunning(w, l, func() {
+		w.nodes[0].start(2, guardAge)
+		w.nodes[0].proxy.reset()
 	}, headers.TimeoutMs, "600000")
 	require.Equal(t, "unknown", got.outcome)
 	require.EqualValues(t, 1, l.runs.Load())
 }
 
-// An upload breaks off on the caller's side. A short one was held back whole
-// first, so it has not run; of a long one the backend server had the start.
-func TestACutUploadIsUnknownUnlessItWasHeld(t *testing.T) {
+// An upload is truncated on the caller's side. A short one is buffered completely first, so it
+// has not run; the backend server received the start of a long one.
+func TestTruncatedUploadIsUnknownUnlessBuffered(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		size int
 		runs int32
 	}{{"short", 1000, 0}, {"long", 1 << 20, 1}} {
 		t.Run(c.name, func(t *testing.T) {
-			l := newLedger(t)
-			w := newWorld(t, l.URL)
+			l := newCountingBackend(t)
+			w := newTestCluster(t, l.URL)
 			conn, err := net.Dial("tcp", strings.TrimPrefix(w.callers[0], "http://"))
 			require.NoError(t, err)
 			_, err = fmt.Fprintf(conn, "POST /plan HTTP/1.1\r\nHost: s\r\nContent-Length: %d\r\n\r\n%s", c.size, strings.Repeat("x", c.size/2))
@@ -187,32 +188,31 @@
 	}
 }
 
-// A read's connection is reset before its answer. Whether it is sent again is
-// the entry's to decide, within its budget, and not net/http's transport's: an
-// error of such a second copy would be taken for proof that nothing was sent.
-func TestTheTransportRepeatsNothing(t *testing.T) {
-	l := newLedger(t)
-	w := newWorld(t, l.URL)
+// The connection of a read is reset before its answer. The entry decides, within its budget,
+// whether the read is sent again, and net/http's transport must not: an error of its second
+// copy would be mistaken for proof that nothing was sent.
+func TestTransportDoesNotRetry(t *testing.T) {
+	l := newCountingBackend(t)
+	w := newTestCluster(t, l.URL)
 	l.finish <- struct{}{}
 	require.Equal(t, "run 1", w.ask(0, "GET", "/read", "").body)
-	w.nodes[0].pipe.loseAnswers(true)
+	w.nodes[0].proxy.setResetAnswers(true)
 	l.finish <- struct{}{}
 	require.Equal(t, "unknown", w.ask(0, "GET", "/read", "").outcome)
 	require.EqualValues(t, 2, l.runs.Load())
 }
 
-// Something between two nodes mixes connections up, and a guard's answer to
-// another request arrives. It must reach nobody, and the booking's own answer
-// must be found by its id.
-func TestAnAnswerToAnotherRequestIsDropped(t *testing.T) {
-	l := newLedger(t)
-	w := newWorld(t, l.URL)
+// A fault between two nodes mixes up connections, and the answer to another request arrives.
+// It must not reach any caller, and the request's own answer must be found by its id.
+func TestAnswerToAnotherRequestIsDropped(t *testing.T) {
+	l := newCountingBackend(t)
+	w := newTestCluster(t, l.URL)
 	l.finish <- struct{}{}
 	l.finish <- struct{}{}
 	for run := range 2 {
-		w.nodes[0].mixedUp.Store(1)
+		w.nodes[0].mismatchedAnswers.Store(1)
 		require.Equal(t, fmt.Sprint("run ", run+1), w.ask(0, "POST", "/book", "x").body)
-		// The first one named no process yet, so there was nothing to ask about.
+		// The first attempt named no incarnation yet, so there was no process to query.
 		require.EqualValues(t, run, w.entries[0].Counters().Resolved.Load())
 	}
 	require.EqualValues(t, 2, l.runs.Load())
--- a/internal/entry/parse_fuzz_test.go
+++ b/internal/entry/parse_fuzz_test.go
@@ -14,7 +14,7 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// parseView is a View with one service, as far as parsing needs it.
+// parseView returns a View with one service, with what parsing needs.
 func parseView(t testing.TB) *pick.View {
 	f := fleet.Fleet{
 		Name: "shop", Revision: 1,
@@ -35,9 +35,9 @@
 	return &pick.View{Config: c, Services: map[string]*pick.Service{"orders": svc}}
 }
 
-// FuzzParseRequest gives the entry whatever a caller may send. A request that is
-// taken keeps to the declared bounds; one that isn't is refused as not run, or as
-// unknown where it carries a key that another copy may have run under.
+// FuzzParseRequest parses arbitrary callers' requests. A parsed request must be within the
+// declared bounds. A refused one must have a known kind of error, with the outcome not run, or
+// unknown if it carries a key under which another copy may have run.
 func FuzzParseRequest(f *testing.F) {
 	for _, seed := range []string{
 		"GET / HTTP/1.1\r\nHost: orders\r\n\r\n",
@@ -68,7 +68,7 @@
 		require.GreaterOrEqual(t, x.depth, 0)
 		require.Less(t, x.depth, maxDepth)
 		if r.Method != http.MethodGet {
-			require.True(t, x.once, "only reads are declared idempotent")
+			require.True(t, x.atMostOnce, "only reads are declared idempotent")
 		}
 	})
 }
--- a/internal/entry/progress.go
+++ b/internal/entry/progress.go
@@ -17,62 +17,62 @@
 )
 
 const (
-	// quietFor is how long no byte may move in either direction before the
-	// target is asked, over a new connection, whether the request is still there.
-	quietFor = 500 * time.Millisecond
-	// maxQuiet bounds the pause between two such questions about a request
-	// that is; the pause doubles, so a long run costs few of them.
-	maxQuiet = 8 * time.Second
-	// recheckAfter lets an answer that was on its way arrive before its
-	// exchange is given up.
+	// idleCheckAfter is how long no byte may be transferred in either direction before the
+	// target is queried, over a new connection, whether it still has the request.
+	idleCheckAfter = 500 * time.Millisecond
+	// maxCheckInterval bounds the interval between two such queries about a request that the
+	// target has. The interval doubles, so that a long run needs few queries.
+	maxCheckInterval = 8 * time.Second
+	// recheckAfter gives an answer in transit time to arrive before its exchange is aborted.
 	recheckAfter = 150 * time.Millisecond
-	// maxMissed is how many questions in a row may find the request gone, and
-	// maxUnheard how many may find nobody to ask.
-	maxMissed, maxUnheard = 2, 3
+	// maxAbsentReplies is how many replies in a row may report the request absent, and
+	// maxUnansweredChecks how many queries in a row may fail, before the exchange is aborted.
+	maxAbsentReplies, maxUnansweredChecks = 2, 3
 )
 
-// errSilent ends an exchange whose connection has gone silent.
-var errSilent = eris.New("the connection to the target has gone silent")
+// errUnresponsive ends an exchange whose connection is unresponsive.
+var errUnresponsive = eris.New("the connection to the target is unresponsive")
 
-// watch guards one exchange with a remote guard against a connection that goes
-// silent for good while new ones work: the caller would wait until its deadline
-// for an answer that was given long ago. When nothing has moved for a while
-// the target is asked over a new connection. If it no longer has the request in
-// hand, or can't be asked, the exchange is ended; what then becomes of the
-// request is up to its kind.
+// watch detects that the connection of an exchange with a remote guard no longer transfers
+// data while new connections work. Otherwise the caller would wait until its deadline for an
+// answer that was already sent. If no byte is transferred for a while, the target is queried
+// over a new connection. If it no longer has the request, or can't be queried, the exchange is
+// aborted. Whether the request is then retried or its outcome is queried depends on its kind.
 type watch struct {
 	entry  *Entry
 	target *pick.Target
 	ask    wire.Seal
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// moved is when a byte last moved, in nanoseconds since the node's start.
-	moved atomic.Int64
-	// unread says that nobody waits for the target: what it has sent so far is
-	// still being handed to a caller who reads slowly.
-	unread atomic.Bool
-	mu     sync.Mutex
-	timer  *time.Timer
-	closed bool
-	// Of the checks, one at a time: what they found, and the next pause.
-	missed, unheard int
-	pause           time.Duration
+	// lastProgress is when a byte was last transferred, in nanoseconds since the node's start.
+	lastProgress atomic.Int64
+	// readerPending is true while the entry isn't reading from the target, because the bytes
+	// received so far are still being written to a slow caller.
+	readerPending atomic.Bool
+	mu            sync.Mutex
+	timer         *time.Timer
+	closed        bool
+	// These are used by the checks, of which one runs at a time: their results, and the next
+	// interval.
+	absent, unanswered int
+	checkInterval      time.Duration
 }
 
-// watch starts to look after an exchange. stop must be called at its end.
+// watch starts to monitor an exchange. stop must be called at its end.
 func (e *Entry) watch(ctx context.Context, t *pick.Target, out *http.Request) *watch {
-	w := &watch{entry: e, target: t, ask: asking(out), pause: quietFor}
+	w := &watch{entry: e, target: t, ask: attemptQuery(out), checkInterval: idleCheckAfter}
 	w.ctx, w.cancel = context.WithCancelCause(ctx)
 	w.touch()
-	// The lock keeps a check from running ahead when the process is paused here.
+	// The lock prevents a check from running before timer is set, if the process is paused
+	// here.
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(quietFor, w.check)
+	w.timer = time.AfterFunc(idleCheckAfter, w.check)
 	return w
 }
 
-// asking gives the question about the request that out carries.
-func asking(out *http.Request) wire.Seal {
+// attemptQuery returns the query about the request in out.
+func attemptQuery(out *http.Request) wire.Seal {
 	q := wire.Seal{AskOnly: true, Attempt: out.Header.Get(headers.Exchange)}
 	for _, name := range []string{headers.Attempt, headers.Collect} {
 		if id := out.Header.Get(name); id != "" {
@@ -83,13 +83,13 @@
 	return q
 }
 
-func (w *watch) touch() { w.moved.Store(int64(w.entry.now())) }
+func (w *watch) touch() { w.lastProgress.Store(int64(w.entry.now())) }
 
-func (w *watch) quiet() time.Duration {
-	if w.unread.Load() {
+func (w *watch) idleTime() time.Duration {
+	if w.readerPending.Load() {
 		return 0
 	}
-	return w.entry.now() - time.Duration(w.moved.Load())
+	return w.entry.now() - time.Duration(w.lastProgress.Load())
 }
 
 func (w *watch) stop() {
@@ -100,10 +100,11 @@
 	w.cancel(nil)
 }
 
-// silent says whether the exchange was ended because of silence.
-func (w *watch) silent() bool { return context.Cause(w.ctx) == errSilent }
+// unresponsive reports whether the exchange was aborted because its connection was
+// unresponsive.
+func (w *watch) unresponsive() bool { return context.Cause(w.ctx) == errUnresponsive }
 
-func (w *watch) again(after time.Duration) {
+func (w *watch) schedule(after time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.closed {
@@ -111,46 +112,47 @@
 	}
 }
 
-// check runs on a goroutine of its own, one at a time.
+// check queries the target if there is no progress. It runs on its own goroutine, one at a
+// time.
 func (w *watch) check() {
-	if quiet := w.quiet(); quiet < quietFor && (w.unread.Load() || w.missed+w.unheard == 0) {
-		w.pause, w.missed, w.unheard = quietFor, 0, 0
-		w.again(quietFor - quiet)
+	if quiet := w.idleTime(); quiet < idleCheckAfter && (w.readerPending.Load() || w.absent+w.unanswered == 0) {
+		w.checkInterval, w.absent, w.unanswered = idleCheckAfter, 0, 0
+		w.schedule(idleCheckAfter - quiet)
 		return
 	}
-	before := w.moved.Load()
+	before := w.lastProgress.Load()
 	w.entry.counters.Checks.Add(1)
-	reply, err := w.entry.ask(w.ctx, w.target, &w.ask)
+	reply, err := w.entry.queryAttempt(w.ctx, w.target, &w.ask)
 	switch {
 	case w.ctx.Err() != nil:
 		return
-	case w.moved.Load() != before || w.unread.Load():
-		w.missed, w.unheard = 0, 0
-		w.again(quietFor)
+	case w.lastProgress.Load() != before || w.readerPending.Load():
+		w.absent, w.unanswered = 0, 0
+		w.schedule(idleCheckAfter)
 	case err != nil:
-		w.unheard++
-		w.giveUpOr(w.unheard >= maxUnheard)
+		w.unanswered++
+		w.abortIf(w.unanswered >= maxUnansweredChecks)
 	case reply.State == wire.AttemptRunning || reply.State == wire.AttemptWaiting:
-		w.missed, w.unheard = 0, 0
-		w.pause = min(2*w.pause, maxQuiet)
-		w.again(w.pause)
+		w.absent, w.unanswered = 0, 0
+		w.checkInterval = min(2*w.checkInterval, maxCheckInterval)
+		w.schedule(w.checkInterval)
 	default:
-		w.missed++
-		w.giveUpOr(w.missed >= maxMissed || reply.State == wire.AttemptElsewhere)
+		w.absent++
+		w.abortIf(w.absent >= maxAbsentReplies || reply.State == wire.AttemptElsewhere)
 	}
 }
 
-func (w *watch) giveUpOr(give bool) {
-	if !give {
-		w.again(recheckAfter)
+func (w *watch) abortIf(abort bool) {
+	if !abort {
+		w.schedule(recheckAfter)
 		return
 	}
 	w.entry.counters.Silent.Add(1)
 	w.entry.remote.Drop(w.target.Guard)
-	w.cancel(errSilent)
+	w.cancel(errUnresponsive)
 }
 
-// request makes the bytes of the request's body count as progress.
+// request wraps the request's body so that its bytes count as progress.
 func (w *watch) request(body io.ReadCloser) io.ReadCloser {
 	if body == nil || body == http.NoBody {
 		return body
@@ -158,27 +160,28 @@
 	return &watchedBody{ReadCloser: body, watch: w}
 }
 
-// answer makes the bytes of the answer count as progress, and its end stop the watch.
+// answer wraps the answer's body so that its bytes count as progress and its end stops the
+// watch.
 func (w *watch) answer(body io.ReadCloser) io.ReadCloser {
-	w.unread.Store(true)
-	return &watchedBody{ReadCloser: body, watch: w, last: true}
+	w.readerPending.Store(true)
+	return &watchedBody{ReadCloser: body, watch: w, isAnswer: true}
 }
 
 type watchedBody struct {
 	io.ReadCloser
-	watch *watch
-	last  bool
+	watch    *watch
+	isAnswer bool
 }
 
 func (b *watchedBody) Read(p []byte) (int, error) {
-	if b.last {
+	if b.isAnswer {
 		b.watch.touch()
-		b.watch.unread.Store(false)
-		defer b.watch.unread.Store(true)
+		b.watch.readerPending.Store(false)
+		defer b.watch.readerPending.Store(true)
 	}
 	n, err := b.ReadCloser.Read(p)
 	b.watch.touch()
-	if err != nil && b.last {
+	if err != nil && b.isAnswer {
 		b.watch.stop()
 	}
 	return n, err
@@ -186,13 +189,13 @@
 
 func (b *watchedBody) Close() error {
 	err := b.ReadCloser.Close()
-	if b.last {
+	if b.isAnswer {
 		b.watch.stop()
 	}
 	return err
 }
 
-// exchangeID names an idempotent request on its way to one target.
+// exchangeID returns a new id for sending an idempotent request to one target.
 func (e *Entry) exchangeID() string {
 	return attempt.ExchangeID(e.name + "-" + formatUint(e.exchanges.Add(1)))
 }
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -19,53 +19,53 @@
 )
 
 const (
-	// maxHeldBody is the largest request body that is held, so that the
-	// request can be offered to another target. Longer ones stream.
-	maxHeldBody = 64 << 10
+	// maxBufferedBody is the largest request body, in bytes, that is buffered so that the
+	// request can be sent to another target. Longer ones are streamed.
+	maxBufferedBody = 64 << 10
 	// maxKey is the longest idempotency key, in bytes.
 	maxKey = 200
-	// maxDepth is how long a call chain may get.
+	// maxDepth is the maximum length of a call chain.
 	maxDepth = 16
 )
 
-// request is a caller's request as the entry understood it.
+// request is a parsed caller's request.
 type request struct {
 	in      *http.Request
 	service *pick.Service
-	// ask is used again for each choice of a target.
+	// ask is reused for each choice of a target.
 	ask pick.Ask
 	// route is the rule that matched, or nil.
 	route *fleet.Route
-	// account is the service's retry budget, and chain what is left of the call chain's.
+	// account is the service's retry budget, and chain the remaining budget of the call chain.
 	account *budget.Retry
 	chain   budget.Chain
-	// once says that the request runs at most once.
-	once bool
-	// hops is how many targets an idempotent request may be offered to.
+	// atMostOnce is true if the request must run at most once.
+	atMostOnce bool
+	// hops is to how many targets an idempotent request may be sent.
 	hops    int
 	timeout time.Duration
-	// key is the caller's own idempotency key, and ticket one of ours.
+	// key is the caller's own idempotency key, and ticket one issued by an entry.
 	key    string
 	ticket *ticket
 	// cancel ends the context that the request was admitted with.
 	cancel context.CancelFunc
-	// hedged says that a second copy was sent; there is never a third.
+	// hedged is true if a second copy was sent; there is never a third.
 	hedged bool
-	// arrived is when the request was read, with its body if that is held.
+	// arrived is when the request was read, including its body if that is buffered.
 	arrived time.Time
 	depth   int
-	// body is the held body; nil when the request's body streams.
+	// body is the buffered body; nil if the request's body is streamed.
 	body   []byte
 	stream bool
-	// suspected says that the request runs alone on its target.
+	// suspected is true if the request must run alone on its target.
 	suspected   bool
 	fingerprint uint64
-	// begun says that some of a streamed body has been read.
-	begun atomic.Bool
+	// bodyRead is true if some of a streamed body has been read.
+	bodyRead atomic.Bool
 }
 
-// parse checks a caller's request against the configuration in force. With an
-// error it still gives the request if its route and key could be read.
+// parse checks a caller's request against the configuration in force. If its route and key
+// could be read, it returns the request also with an error.
 func parse(v *pick.View, r *http.Request) (*request, *kind.Error) {
 	if r.Header.Get("Upgrade") != "" || r.Method == http.MethodConnect {
 		return nil, kind.New(kind.BadRequest, "protocol upgrades and CONNECT aren't supported")
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	route := conf.Match(r.Method, r.URL.Path)
-	x.once = route == nil || !route.Idempotent
+	x.atMostOnce = route == nil || !route.Idempotent
 	x.hops = conf.HopsFor(route)
 	x.route = route
 	x.chain = budget.ParseChain(r.Header.Get(headers.RetriesLeft))
@@ -90,10 +90,10 @@
 	return x, x.parseDepth()
 }
 
-// parseKey tells a ticket from a key of the caller's own.
+// parseKey distinguishes a ticket from a caller's own key.
 func (x *request) parseKey() *kind.Error {
 	key := x.in.Header.Get(headers.IdempotencyKey)
-	if strings.HasPrefix(key, ticketMark) {
+	if strings.HasPrefix(key, ticketPrefix) {
 		t, err := decodeTicket(x.service.Name, key)
 		if err != nil {
 			return kind.New(kind.BadRequest, "%s: %s", headers.IdempotencyKey, err)
@@ -151,39 +151,39 @@
 	return nil
 }
 
-// holdBody reads a small body whole. One without a length, or a long one, streams.
-func (x *request) holdBody() *kind.Error {
+// bufferBody reads a small body completely. A long body, or one without a length, is streamed.
+func (x *request) bufferBody() *kind.Error {
 	r := x.in
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil
 	}
-	if r.ContentLength < 0 || r.ContentLength > maxHeldBody {
+	if r.ContentLength < 0 || r.ContentLength > maxBufferedBody {
 		x.stream = true
 		return nil
 	}
 	x.body = make([]byte, r.ContentLength)
 	_, err := io.ReadFull(r.Body, x.body)
 	if err != nil {
-		cause := kind.New(kind.BodyCut, "the request's body ended early").Because(err)
+		cause := kind.New(kind.BodyCut, "the request's body was truncated").Because(err)
 		cause.Outcome = kind.NotRun
 		return cause
 	}
 	return nil
 }
 
-// sentBody is a body on its way to a guard. It notices when it is first read:
-// from then on a streamed request can't be offered to another target.
+// sentBody is the body of a request to a guard. It records when it is first read: from then on
+// a streamed request can't be sent to another target.
 type sentBody struct {
 	io.ReadCloser
-	begun atomic.Bool
-	cut   atomic.Bool
-	owner *request
+	bodyRead atomic.Bool
+	cut      atomic.Bool
+	owner    *request
 }
 
 func (b *sentBody) Read(p []byte) (int, error) {
-	b.begun.Store(true)
+	b.bodyRead.Store(true)
 	if b.owner != nil {
-		b.owner.begun.Store(true)
+		b.owner.bodyRead.Store(true)
 	}
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -192,10 +192,10 @@
 	return n, err
 }
 
-// cut says whether a streamed body broke off on the caller's side.
+// cut reports whether a streamed body was truncated on the caller's side.
 func (x *request) cut(body *sentBody) bool { return x.stream && body.cut.Load() }
 
-// outgoing gives the request for a guard, with a body of its own.
+// outgoing returns the request for a guard, with its own body.
 func (x *request) outgoing() (*http.Request, *sentBody) {
 	in := x.in
 	out := &http.Request{
@@ -216,8 +216,8 @@
 	switch {
 	case x.stream:
 		body = &sentBody{ReadCloser: io.NopCloser(in.Body), owner: x}
-		// The guard asks for the body only once it has taken the request, so a
-		// refusal leaves the body unread and the request can go elsewhere.
+		// The guard requests the body only once it has admitted the request, so a refusal
+		// leaves the body unread and the request can be sent to another target.
 		out.Header.Set("Expect", "100-continue")
 	case x.body != nil:
 		out.Header.Del("Expect")
--- a/internal/entry/return_test.go
+++ b/internal/entry/return_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two of six guards are gone with their zone, and come back while callers read
-// without a pause at twelve entries. If every entry sent them at once all that they seem
-// free for, their first callers would wait behind a herd of connections and
-// requests. What they take until a second after both were found again is counted at their sockets.
-func TestAZoneThatIsBackSeesNoHerd(t *testing.T) {
+// Two of six guards fail with their zone and recover while callers read continuously through
+// twelve entries. If every entry at once sent them as many requests as they seem to have
+// capacity for, the first callers would wait behind a burst of connections and requests. The
+// test counts what both guards receive until a second after both are reachable again.
+func TestRecoveredZoneIsNotFloodedByEntries(t *testing.T) {
 	const guards, back, entries, callers = 6, 2, 12, 4
 	var runs [guards]atomic.Int64
 	var urls []string
@@ -27,7 +27,7 @@
 		defer s.Close()
 		urls = append(urls, s.URL)
 	}
-	w := newWorld(t, urls...)
+	w := newTestCluster(t, urls...)
 	for len(w.entries) < entries {
 		w.addEntry()
 	}
@@ -44,10 +44,10 @@
 			}
 		})
 	}
-	// Each entry has connections to the guards that are lost, and loses them.
+	// Each entry has connections to the guards that fail, and loses them.
 	require.Eventually(t, func() bool { return runs[0].Load() > 500 }, time.Minute, time.Millisecond)
 	for _, n := range w.nodes[:back] {
-		n.pipe.close()
+		n.proxy.close()
 	}
 	before := runs[back].Load()
 	require.Eventually(t, func() bool { return runs[back].Load() > before+500 }, time.Minute, time.Millisecond)
@@ -58,10 +58,10 @@
 		return n
 	}
 	for _, n := range w.nodes[:back] {
-		n.pipe.reopen(t)
+		n.proxy.reopen(t)
 	}
-	first := func() bool { return w.nodes[0].pipe.accepted() > 0 && w.nodes[1].pipe.accepted() > 0 }
-	require.Eventually(t, first, time.Minute, time.Millisecond, "found again")
+	first := func() bool { return w.nodes[0].proxy.accepted() > 0 && w.nodes[1].proxy.accepted() > 0 }
+	require.Eventually(t, first, time.Minute, time.Millisecond, "both guards are reachable again")
 	start := counts()
 	time.Sleep(time.Second)
 	end := counts()
@@ -72,8 +72,8 @@
 		share += (end[i] - start[i]) / guards
 	}
 	for i, n := range w.nodes[:back] {
-		t.Logf("%d connections, %d requests; an equal share is %d", n.pipe.accepted(), end[i]-start[i], share)
-		require.LessOrEqual(t, n.pipe.accepted(), entries*callers, "no more connections than there are callers")
+		t.Logf("%d connections, %d requests; an equal share is %d", n.proxy.accepted(), end[i]-start[i], share)
+		require.LessOrEqual(t, n.proxy.accepted(), entries*callers, "no more connections than there are callers")
 		require.LessOrEqual(t, end[i]-start[i], share+share/2)
 	}
 }
--- a/internal/entry/suspect.go
+++ b/internal/entry/suspect.go
@@ -8,10 +8,10 @@
 	"github.com/limpetdock/limpetdock/internal/suspect"
 )
 
-// ReportSuspects sets who is told of suspects.
+// ReportSuspects sets the reporter that is notified of suspects.
 func (e *Entry) ReportSuspects(a SuspectReporter) { e.reporter.Store(&a) }
 
-// print gives the request's fingerprint, which is worked out only when needed.
+// print returns the request's fingerprint, which is computed on first use.
 func (x *request) print() uint64 {
 	if x.fingerprint == 0 {
 		x.fingerprint = suspect.Fingerprint(x.service.Name, x.in, x.body)
@@ -19,8 +19,8 @@
 	return x.fingerprint
 }
 
-// checkSuspect looks whether the request is like one that crashed backend servers.
-// A blocked one is answered at once: its caller would only ask again.
+// checkSuspect checks whether similar requests crashed backend servers. A blocked request is
+// answered at once with the remaining time, because its caller would only send it again.
 func (x *request) checkSuspect(v *pick.View, now time.Duration) *kind.Error {
 	if len(v.Suspects) == 0 {
 		return nil
@@ -35,8 +35,9 @@
 	return e
 }
 
-// noteDeath makes the request a suspect, for its own next try and for others.
-func (e *Entry) noteDeath(x *request, err *kind.Error) {
+// reportDeath marks the request as a suspect for its next attempt, and reports it for other
+// nodes.
+func (e *Entry) reportDeath(x *request, err *kind.Error) {
 	if err.Death == 0 {
 		return
 	}
@@ -46,8 +47,8 @@
 	}
 }
 
-// noteRun clears a suspect that has run to its end.
-func (e *Entry) noteRun(x *request) {
+// clearSuspect reports that a suspected request completed without a crash.
+func (e *Entry) clearSuspect(x *request) {
 	if !x.suspected {
 		return
 	}
--- a/internal/entry/ticket.go
+++ b/internal/entry/ticket.go
@@ -24,18 +24,18 @@
 )
 
 const (
-	// ticketMark opens every ticket, with its version.
-	ticketMark = "ldt1."
+	// ticketPrefix starts every ticket and contains its version.
+	ticketPrefix = "ldt1."
 	// maxTicket is the longest ticket, in bytes.
 	maxTicket = 400
-	// avoidUnasked is how long a target that couldn't be asked is passed over.
-	avoidUnasked = time.Second
-	// ticketWanted is the value of headers.Ticket in a request for a ticket.
-	ticketWanted = "request"
+	// avoidUnreachable is how long a target that couldn't be queried is not chosen.
+	avoidUnreachable = time.Second
+	// ticketRequestValue is the value of headers.Ticket in a request for a ticket.
+	ticketRequestValue = "request"
 )
 
-// ticket is leave to run one request at one incarnation of one target. It holds
-// no secret: what it names can only ever run once, whoever sends it.
+// ticket permits one request to run at one incarnation of one target. It contains no secret:
+// the request it names can run only once, whoever sends it.
 type ticket struct {
 	VM          string `msgpack:"v"`
 	Incarnation uint64 `msgpack:"i"`
@@ -44,17 +44,17 @@
 	ID   string `msgpack:"n"`
 }
 
-var errTicket = eris.New("malformed, or a ticket of another service")
+var errInvalidTicket = eris.New("malformed, or for another service")
 
-// encode writes a ticket with a checksum over it and its service: a ticket that
-// was clipped or is sent to another service is refused, not searched for.
+// encode returns the text of a ticket, with a checksum over the ticket and its service. A
+// ticket that was truncated or is sent to another service is refused instead of looked up.
 func (t *ticket) encode(service string) (string, error) {
 	body, err := msgpack.Marshal(t)
 	if err != nil {
 		return "", eris.Wrap(err, "encode ticket")
 	}
 	sum := binary.BigEndian.AppendUint64(nil, checksum(service, body))
-	return ticketMark + base64.RawURLEncoding.EncodeToString(append(sum, body...)), nil
+	return ticketPrefix + base64.RawURLEncoding.EncodeToString(append(sum, body...)), nil
 }
 
 func checksum(service string, body []byte) uint64 {
@@ -66,28 +66,28 @@
 
 const checksumSize = 8
 
-// decodeTicket reads a ticket of a service.
+// decodeTicket parses a ticket of a service.
 func decodeTicket(service, text string) (*ticket, error) {
-	raw, err := base64.RawURLEncoding.Strict().DecodeString(strings.TrimPrefix(text, ticketMark))
+	raw, err := base64.RawURLEncoding.Strict().DecodeString(strings.TrimPrefix(text, ticketPrefix))
 	if err != nil || len(raw) < checksumSize || len(text) > maxTicket {
-		return nil, errTicket
+		return nil, errInvalidTicket
 	}
 	sum, body := binary.BigEndian.Uint64(raw), raw[checksumSize:]
 	if sum != checksum(service, body) {
-		return nil, errTicket
+		return nil, errInvalidTicket
 	}
 	t := &ticket{}
 	if err := msgpack.Unmarshal(body, t); err != nil || t.VM == "" || t.ID == "" {
-		return nil, errTicket
+		return nil, errInvalidTicket
 	}
 	return t, nil
 }
 
-// issue answers a request for a ticket: it chooses a target, as for a request,
-// and asks it for its incarnation and tick. Nothing is recorded anywhere.
-func (e *Entry) issue(ctx context.Context, w http.ResponseWriter, x *request) *kind.Error {
-	if x.in.Method != http.MethodPost || x.in.Header.Get(headers.Ticket) != ticketWanted {
-		return kind.New(kind.BadRequest, "a ticket is asked for by POST with %s: %s", headers.Ticket, ticketWanted)
+// issueTicket answers a request for a ticket. It chooses a target, as for a request, and
+// queries it for its incarnation and tick. Nothing is stored.
+func (e *Entry) issueTicket(ctx context.Context, w http.ResponseWriter, x *request) *kind.Error {
+	if x.in.Method != http.MethodPost || x.in.Header.Get(headers.Ticket) != ticketRequestValue {
+		return kind.New(kind.BadRequest, "a ticket is requested by POST with %s: %s", headers.Ticket, ticketRequestValue)
 	}
 	var tried []*pick.Target
 	for range x.service.Hops {
@@ -96,68 +96,68 @@
 			break
 		}
 		tried = append(tried, t)
-		reply, err := e.ask(ctx, t, &wire.Seal{AskOnly: true})
+		reply, err := e.queryAttempt(ctx, t, &wire.Seal{AskOnly: true})
 		if err != nil {
-			t.Stat.Avoid(e.now() + avoidUnasked)
+			t.Stat.Avoid(e.now() + avoidUnreachable)
 			continue
 		}
-		made := &ticket{VM: t.Place.VM, Incarnation: reply.Incarnation, Tick: reply.Tick, ID: uuid.NewString()}
-		return writeTicket(w, x.service.Name, made)
+		issued := &ticket{VM: t.Place.VM, Incarnation: reply.Incarnation, Tick: reply.Tick, ID: uuid.NewString()}
+		return writeTicket(w, x.service.Name, issued)
 	}
-	return kind.New(kind.NoTarget, "no target can be asked for a ticket")
+	return kind.New(kind.NoTarget, "no target can issue a ticket")
 }
 
-// ticketAnswer is the JSON body that a ticket comes in.
+// ticketAnswer is the JSON body of the answer with a ticket.
 type ticketAnswer struct {
 	Ticket string `json:"ticket"`
-	// ExpiresInMs is how long from now the ticket may start to run, in milliseconds.
+	// ExpiresInMs is how long from now a request with the ticket may start, in milliseconds.
 	ExpiresInMs int64 `json:"expires_in_ms"`
 }
 
-func writeTicket(w http.ResponseWriter, service string, made *ticket) *kind.Error {
-	text, err := made.encode(service)
+func writeTicket(w http.ResponseWriter, service string, issued *ticket) *kind.Error {
+	text, err := issued.encode(service)
 	if err != nil {
 		return kind.From(err)
 	}
 	expires := attempt.TicketWindow - attempt.TickEvery
 	body := &bytes.Buffer{}
-	// A buffer can't fail to be written to.
+	// Writing to a buffer can't fail.
 	_ = json.NewEncoder(body).Encode(ticketAnswer{Ticket: text, ExpiresInMs: expires.Milliseconds()})
 	h := w.Header()
 	h.Set(headers.Ticket, text)
 	h.Set("Content-Type", "application/json")
 	h.Set("Cache-Control", "no-store")
 	h.Set("Content-Length", strconv.Itoa(body.Len()))
-	// A caller that is gone can't be told; the server closes the connection.
+	// A failed write means that the caller is gone; the server closes the connection.
 	_, _ = w.Write(body.Bytes())
 	return nil
 }
 
-// serveTicket offers a request to the one incarnation that its ticket names.
+// serveTicket sends a request to the one incarnation that its ticket names.
 func (e *Entry) serveTicket(ctx context.Context, w http.ResponseWriter, v *pick.View, x *request) *kind.Error {
 	t := targetOn(x, x.ticket.VM)
 	if t == nil || t.Guard == "" {
-		return kind.New(kind.KeyUnknown, "the server that the ticket names isn't declared or listed any more")
+		return kind.New(kind.KeyUnknown, "the server that the ticket names is no longer declared or listed")
 	}
 	var err *kind.Error
-	for range keyOffers {
+	for range maxKeyAttempts {
 		var body *sentBody
-		body, err = e.offer(ctx, w, v, x, x.ticket.sentTo(t))
+		body, err = e.runAttempt(ctx, w, v, x, x.ticket.attemptAt(t))
 		if err == nil {
 			return nil
 		}
-		if err.Kind != kind.StaleAttempt || err.FromGuard || x.stream && body.begun.Load() {
+		if err.Kind != kind.StaleAttempt || err.FromGuard || x.stream && body.bodyRead.Load() {
 			break
 		}
 	}
 	if err.Kind == kind.StaleAttempt && err.FromGuard {
-		return kind.New(kind.KeyUnknown, "the process that the ticket names is gone; whether it ran the request is not known")
+		return kind.New(kind.KeyUnknown, "the process that the ticket names has ended; whether it ran the request is unknown")
 	}
 	return err
 }
 
-func (t *ticket) sentTo(target *pick.Target) sent {
-	return sent{
+func (t *ticket) attemptAt(target *pick.Target) sentAttempt {
+	return sentAttempt{
 		target: target, id: attempt.TicketID(t.ID),
 		identity: pick.Identity{Incarnation: t.Incarnation, Tick: t.Tick},
 	}
--- a/internal/entry/transports.go
+++ b/internal/entry/transports.go
@@ -10,26 +10,26 @@
 const (
 	// dialTimeout bounds opening a connection to a guard.
 	dialTimeout = time.Second
-	// remoteIdle is how long a kept connection to a guard is kept unused.
-	remoteIdle = time.Minute
+	// idleConnTimeout is how long an unused connection to a guard is kept.
+	idleConnTimeout = time.Minute
 )
 
-// transports keeps the connections to guards, a pool for each address, so that
-// those to one guard can be dropped together: when one connection has gone
-// silent, the kept ones beside it have as a rule as well, and a request sent
-// on one of them would wait in vain. Safe for concurrent use.
+// transports keeps a connection pool for each guard address, so that all connections to one
+// guard can be closed together. If one connection has become unresponsive, its other idle
+// connections usually have too, and a request sent on one of them would never be answered.
+// Safe for concurrent use.
 type transports struct {
 	mu   sync.RWMutex
 	pool map[string]*http.Transport
-	// size holds for the connections to each address.
-	size connections
+	// size applies to the connections to each address.
+	size connectionLimits
 }
 
 func newTransports() *transports {
-	return &transports{pool: map[string]*http.Transport{}, size: unbounded}
+	return &transports{pool: map[string]*http.Transport{}, size: defaultConnectionLimits}
 }
 
-func newTransport(size connections) *http.Transport {
+func newTransport(size connectionLimits) *http.Transport {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
@@ -37,14 +37,14 @@
 		},
 	}
 	return &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConnsPerHost: size.idle, MaxConnsPerHost: size.open,
-		IdleConnTimeout:    remoteIdle,
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: size.maxIdle, MaxConnsPerHost: size.maxOpen,
+		IdleConnTimeout:    idleConnTimeout,
 		DisableCompression: true, ExpectContinueTimeout: time.Hour,
 		ReadBufferSize: 16 << 10, WriteBufferSize: 16 << 10,
 	}
 }
 
-// RoundTrip sends a request over a connection to the guard that its URL names.
+// RoundTrip sends a request over a connection to the guard in its URL.
 func (t *transports) RoundTrip(r *http.Request) (*http.Response, error) {
 	return t.to(r.URL.Host).RoundTrip(r)
 }
@@ -65,9 +65,8 @@
 	return one
 }
 
-// Bound changes how many connections there may be to each address. Exchanges
-// under way go on.
-func (t *transports) Bound(size connections) {
+// SetLimits changes the connection limits of each address. Exchanges in progress continue.
+func (t *transports) SetLimits(size connectionLimits) {
 	t.mu.Lock()
 	same := t.size == size
 	t.size = size
@@ -77,8 +76,8 @@
 	}
 }
 
-// Drop makes every later request to addr use a new connection. Exchanges under
-// way go on; their connections aren't kept.
+// Drop makes every later request to addr use a new connection. Exchanges in progress continue;
+// their connections aren't reused.
 func (t *transports) Drop(addr string) {
 	t.mu.Lock()
 	one := t.pool[addr]
@@ -89,20 +88,20 @@
 	}
 }
 
-// Keep drops the connections to all addresses but those in use.
-func (t *transports) Keep(inUse map[string]bool) {
+// RetainOnly closes the connections to all addresses that are not in use.
+func (t *transports) RetainOnly(inUse map[string]bool) {
 	t.mu.RLock()
-	var gone []string
+	var unused []string
 	for addr := range t.pool {
 		if !inUse[addr] {
-			gone = append(gone, addr)
+			unused = append(unused, addr)
 		}
 	}
 	t.mu.RUnlock()
-	for _, addr := range gone {
+	for _, addr := range unused {
 		t.Drop(addr)
 	}
 }
 
-// CloseIdleConnections drops all kept connections.
-func (t *transports) CloseIdleConnections() { t.Keep(nil) }
+// CloseIdleConnections closes all idle connections.
+func (t *transports) CloseIdleConnections() { t.RetainOnly(nil) }
