--- a/internal/entry/account.go
+++ b/internal/entry/account.go
@@ -74,9 +74,9 @@
 		return true
 	}
 	if err.Said() == kind.NotRun {
-		return x.account.Hop()
+		return x.retryBudget.Hop()
 	}
-	if x.chain == 0 || !x.account.Retry() {
+	if x.chain == 0 || !x.retryBudget.Retry() {
 		return false
 	}
 	x.chain--
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -187,9 +187,9 @@
 		return err
 	}
 	defer hold.Release()
-	x.account = e.retryBudgets.forService(x.service.Name)
+	x.retryBudget = e.retryBudgets.forService(x.service.Name)
 	if x.chain.Fresh() {
-		x.account.Request()
+		x.retryBudget.Request()
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), x.timeout)
 	defer cancel()
--- a/internal/entry/evidence_test.go
+++ b/internal/entry/evidence_test.go
@@ -61,7 +61,7 @@
 		kind.StaleAttempt: true, kind.StaleConfig: true, kind.Leaving: true, kind.NotReady: true, kind.Unreachable: true,
 		kind.Overloaded: false, kind.Sealed: false, kind.BackendDied: false,
 	} {
-		x := &request{account: budget.NewRetry(0), chain: budget.ChainRetries}
+		x := &request{retryBudget: budget.NewRetry(0), chain: budget.ChainRetries}
 		require.Equal(t, free, e.allowNextAttempt(x, kind.New(k, "test")), k)
 	}
 }
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -45,7 +45,7 @@
 	view  *pick.View
 	x     *request
 	tried []*pick.Target
-	// target has the second copy, whose result is in copy once done is closed.
+	// target is where the second copy was sent; its result is in copy once done is closed.
 	target *pick.Target
 	cancel context.CancelFunc
 	done   chan struct{}
@@ -108,7 +108,7 @@
 	}
 	ask := &pick.Ask{Draw: pick.Draw{Now: e.now(), Rand: pick.SharedRand}, Tried: h.tried}
 	target := x.service.ChooseHedge(ask)
-	if target == nil || !x.account.Hedge() {
+	if target == nil || !x.retryBudget.Hedge() {
 		return nil
 	}
 	// The copy uses one retry of the call chain, as a retry does.
@@ -136,7 +136,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	defer close(h.done)
-	h.x.account.Offered(r.refused())
+	h.x.retryBudget.Offered(r.refused())
 	if r.err != nil || r.buffered != nil {
 		h.cancel()
 	} else {
@@ -149,7 +149,7 @@
 	h.copy = r
 	if r.usable() {
 		h.phase = won
-		h.x.account.HedgeWon()
+		h.x.retryBudget.HedgeWon()
 		h.firstCancelled.Store(true)
 		h.x.cancel()
 	}
--- a/internal/entry/hop.go
+++ b/internal/entry/hop.go
@@ -99,15 +99,15 @@
 	}
 	w := e.watch(ctx, t, out)
 	out = out.WithContext(w.ctx)
-	out.Body = w.request(out.Body)
+	out.Body = w.wrapRequestBody(out.Body)
 	headers.Unreplayable(out)
 	resp, err := e.remote.RoundTrip(out)
 	if err != nil {
 		defer w.stop()
 		return nil, e.transportError(w, err)
 	}
-	resp.Body = w.answer(resp.Body)
-	if got := resp.Header.Get(headers.Exchange); got != w.ask.Attempt {
+	resp.Body = w.wrapAnswerBody(resp.Body)
+	if got := resp.Header.Get(headers.Exchange); got != w.query.Attempt {
 		// This is the answer to another request. The connection is closed without reading the
 		// rest.
 		_ = resp.Body.Close()
--- a/internal/entry/idempotent.go
+++ b/internal/entry/idempotent.go
@@ -97,7 +97,7 @@
 		lost = &h.firstCancelled
 	}
 	r := e.sendAndBuffer(ctx, v, t, out, lost)
-	x.account.Offered(r.refused())
+	x.retryBudget.Offered(r.refused())
 	e.recordLatency(x, r, e.now()-start)
 	if h == nil {
 		return r
--- a/internal/entry/key_test.go
+++ b/internal/entry/key_test.go
@@ -140,7 +140,7 @@
 }
 
 // A home was replaced a minute ago. The answer must report when keys are accepted again, so
-// that a caller neither gives up nor retries continuously.
+// that a caller neither stops too early nor retries continuously.
 func TestRestartedHomeReportsWhenItAcceptsKeys(t *testing.T) {
 	l := newCountingBackend(t)
 	w := newTestCluster(t, l.URL)
--- a/internal/entry/progress.go
+++ b/internal/entry/progress.go
@@ -23,7 +23,8 @@
 	// maxCheckInterval bounds the interval between two such queries about a request that the
 	// target has. The interval doubles, so that a long run needs few queries.
 	maxCheckInterval = 8 * time.Second
-	// recheckAfter gives an answer in transit time to arrive before its exchange is aborted.
+	// recheckAfter is the time allowed for an answer in transit to arrive before its exchange
+	// is aborted.
 	recheckAfter = 150 * time.Millisecond
 	// maxAbsentReplies is how many replies in a row may report the request absent, and
 	// maxUnansweredChecks how many queries in a row may fail, before the exchange is aborted.
@@ -41,7 +42,7 @@
 type watch struct {
 	entry  *Entry
 	target *pick.Target
-	ask    wire.Seal
+	query  wire.Seal
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	// lastProgress is when a byte was last transferred, in nanoseconds since the node's start.
@@ -60,7 +61,7 @@
 
 // watch starts to monitor an exchange. stop must be called at its end.
 func (e *Entry) watch(ctx context.Context, t *pick.Target, out *http.Request) *watch {
-	w := &watch{entry: e, target: t, ask: attemptQuery(out), checkInterval: idleCheckAfter}
+	w := &watch{entry: e, target: t, query: attemptQuery(out), checkInterval: idleCheckAfter}
 	w.ctx, w.cancel = context.WithCancelCause(ctx)
 	w.touch()
 	// The lock prevents a check from running before timer is set, if the process is paused
@@ -122,7 +123,7 @@
 	}
 	before := w.lastProgress.Load()
 	w.entry.counters.Checks.Add(1)
-	reply, err := w.entry.queryAttempt(w.ctx, w.target, &w.ask)
+	reply, err := w.entry.queryAttempt(w.ctx, w.target, &w.query)
 	switch {
 	case w.ctx.Err() != nil:
 		return
@@ -152,17 +153,17 @@
 	w.cancel(errUnresponsive)
 }
 
-// request wraps the request's body so that its bytes count as progress.
-func (w *watch) request(body io.ReadCloser) io.ReadCloser {
+// wrapRequestBody wraps the request's body so that its bytes count as progress.
+func (w *watch) wrapRequestBody(body io.ReadCloser) io.ReadCloser {
 	if body == nil || body == http.NoBody {
 		return body
 	}
 	return &watchedBody{ReadCloser: body, watch: w}
 }
 
-// answer wraps the answer's body so that its bytes count as progress and its end stops the
+// wrapAnswerBody wraps the answer's body so that its bytes count as progress and its end stops the
 // watch.
-func (w *watch) answer(body io.ReadCloser) io.ReadCloser {
+func (w *watch) wrapAnswerBody(body io.ReadCloser) io.ReadCloser {
 	w.readerPending.Store(true)
 	return &watchedBody{ReadCloser: body, watch: w, isAnswer: true}
 }
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -36,9 +36,9 @@
 	ask pick.Ask
 	// route is the rule that matched, or nil.
 	route *fleet.Route
-	// account is the service's retry budget, and chain the remaining budget of the call chain.
-	account *budget.Retry
-	chain   budget.Chain
+	// retryBudget is the service's retry budget, and chain the remaining budget of the call chain.
+	retryBudget *budget.Retry
+	chain       budget.Chain
 	// atMostOnce is true if the request must run at most once.
 	atMostOnce bool
 	// hops is to how many targets an idempotent request may be sent.
--- a/internal/entry/stale.go
+++ b/internal/entry/stale.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	reparsed.body, reparsed.stream, reparsed.arrived = x.body, x.stream, x.arrived
-	reparsed.account, reparsed.cancel, reparsed.chain, reparsed.hedged = x.account, x.cancel, x.chain, x.hedged
+	reparsed.retryBudget, reparsed.cancel, reparsed.chain, reparsed.hedged = x.retryBudget, x.cancel, x.chain, x.hedged
 	if deadline, ok := ctx.Deadline(); ok {
 		reparsed.timeout = min(reparsed.timeout, time.Until(deadline))
 	}
