--- a/internal/budget/hedge.go
+++ b/internal/budget/hedge.go
@@ -3,31 +3,31 @@
 import "sync/atomic"
 
 const (
-	// refusedScale is the whole of the share of refused offers, and
-	// refusedWeight the inverse weight of one offer in it.
+	// refusedScale is the fixed-point value of a share of 1 of refused attempts,
+	// and refusedWeight the inverse weight of one attempt in the moving average.
 	refusedScale, refusedWeight = 1024, 32
-	// crowded is the share of refused offers above which no copy is sent.
-	crowded = refusedScale / 10
+	// maxRefused is the share of refused attempts above which no copy is sent.
+	maxRefused = refusedScale / 10
 )
 
-// hedges is the part of a Retry that is for hedged copies. They have a share of
-// their own, so that they can't use up what retries need, and each takes a retry
-// too, so that both together stay within the share of retries.
+// hedges is the budget of hedged copies within a Retry. Copies have a share of
+// their own, so that they can't use up what retries need. Each copy is also
+// charged as a retry, so that both together stay within the share of retries.
 type hedges struct {
-	percent, account int
+	percent, balance int
 	sent, denied     uint64
 	won              atomic.Uint64
-	// refused is a moving average of the share of offers that were refused.
+	// refused is a moving average of the share of attempts that were refused.
 	refused atomic.Int32
 }
 
-func (h *hedges) pay() { h.account = min(h.account+h.percent, retryCap*retryUnit) }
+func (h *hedges) credit() { h.balance = min(h.balance+h.percent, retryCap*retryUnit) }
 
-// HedgeCounts is what became of hedged copies.
+// HedgeCounts counts hedged copies by outcome.
 type HedgeCounts struct {
-	// Sent are copies sent, and Won those that gave the answer.
+	// Sent counts copies sent, and Won those that answered first.
 	Sent, Won uint64
-	// Denied are copies not sent because of the budget or of refusals.
+	// Denied counts copies not sent because of the budget or of refusals.
 	Denied uint64
 }
 
@@ -39,28 +39,28 @@
 		return
 	}
 	if r.hedges.percent == 0 || percent == 0 {
-		r.hedges.account = startOf(percent)
+		r.hedges.balance = initialBalance(percent)
 	}
 	r.hedges.percent = percent
 }
 
-// Hedge takes out one hedged copy, and says whether there was one.
+// Hedge withdraws one hedged copy and reports whether the budget allows it.
 func (r *Retry) Hedge() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := &r.hedges
-	if h.refused.Load() > crowded || h.account < retryUnit || r.account < retryUnit {
+	if h.refused.Load() > maxRefused || h.balance < retryUnit || r.balance < retryUnit {
 		h.denied++
 		return false
 	}
-	h.account -= retryUnit
-	r.account -= retryUnit
+	h.balance -= retryUnit
+	r.balance -= retryUnit
 	h.sent++
 	return true
 }
 
-// Offered notes whether a target refused an offer because it is full. While many
-// do, copies would take slots from requests that have none.
+// RecordAttempt records whether a target refused an attempt because it is full.
+// While many do, copies would take slots from requests that have none.
 func (r *Retry) Offered(refused bool) {
 	old := r.hedges.refused.Load()
 	if old == 0 && !refused {
@@ -73,10 +73,10 @@
 	r.hedges.refused.Store(old + (sample-old)/refusedWeight)
 }
 
-// HedgeWon notes that a copy gave the answer.
+// HedgeWon records that a copy answered first.
 func (r *Retry) HedgeWon() { r.hedges.won.Add(1) }
 
-// HedgeCounts gives what became of hedged copies so far.
+// HedgeCounts returns the counts of hedged copies so far.
 func (r *Retry) HedgeCounts() HedgeCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/budget/hedge_test.go
+++ b/internal/budget/hedge_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestHedgesAreAShareOfRequestsAndOfRetries(t *testing.T) {
+func TestHedgesStayWithinSharesOfRequestsAndRetries(t *testing.T) {
 	for name, c := range map[string]struct {
 		retries, hedges, spent, atMost int
 	}{
@@ -37,40 +37,41 @@
 	}
 }
 
-// Every target is full. A copy would take its place in a queue from a request
-// that has none, and be refused as often as not.
-func TestNoHedgesUnderOverload(t *testing.T) {
+// Every target is full. A copy would take a queue position from a request that has
+// none, and would often be refused itself.
+func TestHedgesAreDeniedWhileTargetsRefuse(t *testing.T) {
 	r := NewRetry(10)
 	r.SetHedgePercent(5)
 	for i := range 100 {
 		r.Offered(i%4 == 0)
 	}
-	require.False(t, r.Hedge(), "a quarter of offers is refused")
+	require.False(t, r.Hedge(), "a quarter of attempts is refused")
 	for range 100 {
 		r.Offered(false)
 	}
-	require.True(t, r.Hedge(), "it is over")
+	require.True(t, r.Hedge(), "the overload has ended")
 }
 
-// hedged makes the call at a level of a chain in which every answer is late, so that
-// each level sends a copy if it may.
-func (c *chain) hedged(level int, left Chain) {
+// hedged simulates the call at a level of a chain in which every answer is late, so
+// that each level sends a copy if the budget allows it.
+func (c *chain) hedged(level int, remaining Chain) {
 	if level == len(c.budgets) {
 		c.reached++
 		return
 	}
-	if left.Fresh() {
+	if remaining.Fresh() {
 		c.budgets[level].Request()
 	}
-	c.hedged(level+1, left)
-	if !c.bounded || left.Fresh() && c.budgets[level].Hedge() {
-		c.hedged(level+1, max(left-1, 0))
+	c.hedged(level+1, remaining)
+	if !c.bounded || remaining.Fresh() && c.budgets[level].Hedge() {
+		c.hedged(level+1, max(remaining-1, 0))
 	}
 }
 
 // The service at the end of a chain of eleven calls slows down, and with it every
-// call above. A copy at each level would make 2^11 calls of one. With the share of each service
-// and the count handed down the slow service gets a twentieth more for each level.
+// call above. A copy at each level would turn one call into 2^11. With the share
+// of each service and the count passed down, the slow service gets a twentieth more
+// for each level.
 func TestHedgesDoNotMultiplyDownAChain(t *testing.T) {
 	run := func(requests int, bounded bool) float64 {
 		c := &chain{bounded: bounded}
@@ -87,6 +88,6 @@
 	require.InDelta(t, 2048, run(1, false), 0.1)
 	with := run(4000, true)
 	t.Logf("calls to the slow service for each request at depth 11: %.2f", with)
-	require.LessOrEqual(t, with, 1+11*0.05+0.15, "a twentieth for each level, and the reserve")
+	require.LessOrEqual(t, with, 1+11*0.05+0.15, "a twentieth for each level, and the initial balance")
 	require.Greater(t, with, 1.0)
 }
--- a/internal/budget/measuring.go
+++ b/internal/budget/measuring.go
@@ -1,5 +1,5 @@
-// Package budget bounds what the system spends on its own account: measuring
-// load, and trying again.
+// Package budget bounds the traffic that the system adds by itself: load
+// measurements, retries and hedged copies.
 package budget
 
 import (
@@ -12,43 +12,44 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// Measuring is the one place that allows a node to send bytes about load:
-// headers on replies, probes, and answers to probes. Each of the declared
-// numbers holds for any window of one second, not only on average: a bucket of
-// burst b that fills at r a second lets b+r through in one second at most, so
-// both together are set to what is declared. Safe for concurrent use.
+// Measuring is the budget for all bytes that a node sends about load: headers on
+// replies, probes, and answers to probes. Each declared limit holds for any window
+// of one second, not only on average: a token bucket of burst b that fills at r a
+// second lets at most b+r through in one second, so b+r is set to the declared
+// limit. Safe for concurrent use.
 type Measuring struct {
 	mu sync.Mutex
-	// now is read under the mutex. A time taken before would be old by the wait
-	// for it, and a bucket would pay out for the same moment twice.
+	// now is read under the mutex. A time read before locking would be stale after
+	// the wait for the mutex, and a bucket would be refilled twice for the same time.
 	now                    func() time.Duration
 	budget                 fleet.Budget
 	requests, bytes, cross *rate.Limiter
 	spent                  Spent
 }
 
-// Spent counts what was allowed and what was not. Its fields are safe to read
+// Spent counts allowed and denied measurements. Its fields are safe to read
 // at any time.
 type Spent struct {
-	// Requests are probes sent; Bytes all bytes; CrossBytes those that left the region.
+	// Requests counts probes sent, Bytes all bytes, and CrossBytes those that left
+	// the region.
 	Requests, Bytes, CrossBytes atomic.Uint64
-	// Denied counts what was left out because it was over budget.
+	// Denied counts messages not sent because they were over budget.
 	Denied atomic.Uint64
 }
 
-// burstShare is the part of a limit, 1/burstShare, that may be spent at once.
+// burstShare is the inverse of the share of a limit that may be spent at once.
 const burstShare = 4
 
 // NewMeasuring returns a budget that allows nothing until SetBudget is called.
-// now gives the time since the node's start, of a monotonic clock.
+// now returns the monotonic time since the node's start.
 func NewMeasuring(now func() time.Duration) *Measuring {
 	return &Measuring{
 		now: now, requests: rate.NewLimiter(0, 0), bytes: rate.NewLimiter(0, 0), cross: rate.NewLimiter(0, 0),
 	}
 }
 
-// SetBudget puts limits in force. In a window in which limits changed, the
-// greater ones hold.
+// SetBudget applies new limits. In a window in which limits changed, the greater
+// ones hold.
 func (m *Measuring) SetBudget(b fleet.Budget) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -68,17 +69,17 @@
 	l.SetBurstAt(at, burst)
 }
 
-// clock gives now in the form the buckets take. The mutex is held.
+// clock returns now in the form that the buckets need. The caller holds the mutex.
 func (m *Measuring) clock() time.Time { return time.Unix(0, 0).Add(m.now()) }
 
-// Allow spends bytes if every limit has room for them, and says so. cross says
-// that they leave the region.
+// Allow spends bytes if every limit allows them, and reports whether it did. cross
+// is true if they leave the region.
 func (m *Measuring) Allow(bytes int, cross bool) bool {
 	return m.allow(0, bytes, cross)
 }
 
 // AllowRequest spends one measuring request of a number of bytes if every limit
-// has room for it, and says so.
+// allows it, and reports whether it did.
 func (m *Measuring) AllowRequest(bytes int, cross bool) bool {
 	return m.allow(1, bytes, cross)
 }
@@ -106,5 +107,5 @@
 	return true
 }
 
-// Spent gives the counters.
+// Spent returns the counters.
 func (m *Measuring) Spent() *Spent { return &m.spent }
--- a/internal/budget/measuring_test.go
+++ b/internal/budget/measuring_test.go
@@ -11,19 +11,19 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// The same schedules are drawn every time, unless the command line says otherwise.
+// A fixed seed makes runs repeatable; the command line can override it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// spending is what was allowed at one moment.
+// spending is what was allowed at one time.
 type spending struct {
 	at                     time.Duration
 	requests, bytes, cross int
 }
 
-// An operator pays for every byte between regions. Under a fault thousands of
-// replies come at once, or none for minutes and then all; a budget that holds
-// on average still sends a burst, and the bill or the link shows it. So the sum
-// over any second is held, whatever the schedule.
+// Operators pay for every byte between regions. Under a fault thousands of replies
+// may arrive at once, or none for minutes and then all. A budget that holds only on
+// average would allow a burst, which costs money or overloads the link. So the sum
+// over any second must be within the limits, whatever the schedule.
 func TestNoWindowOfASecondExceedsTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := fleet.Budget{
@@ -43,7 +43,7 @@
 			if cross {
 				s.cross = s.bytes
 			}
-			// A burst takes what there is.
+			// A burst uses all that is allowed.
 			for range rapid.SampledFrom([]int{1, 300}).Draw(t, "tries") {
 				if m.allow(s.requests, s.bytes, cross) {
 					log = append(log, s)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestMeasuringCountsWhatItAllows(t *testing.T) {
+func TestMeasuringCountsAllowedAndDenied(t *testing.T) {
 	now := time.Duration(0)
 	m := NewMeasuring(func() time.Duration { return now })
 	require.False(t, m.Allow(1, false), "nothing is allowed before a budget is declared")
--- a/internal/budget/retry.go
+++ b/internal/budget/retry.go
@@ -3,37 +3,38 @@
 import "sync"
 
 const (
-	// retryUnit is one retry in a Retry's account; a request pays in
-	// percent/100 of it.
+	// retryUnit is one retry in a Retry's balance; a request adds percent/100 of
+	// it.
 	retryUnit = 100
-	// hopPrice is what going on after a refusal costs. A refusal ran nothing, so
-	// it costs the fleet far less than a run, but it is not free: under overload
-	// every target refuses, and each refused offer takes time of the node that makes it.
-	hopPrice = retryUnit / 4
-	// retryCap bounds what is saved up in quiet times, in retries: a storm after
-	// a quiet night starts with no more than this.
+	// hopCost is the cost of another attempt after a refusal. A refused request did
+	// not run, so it costs the fleet far less than a run, but it is not free: under
+	// overload every target refuses, and each refused attempt takes CPU time of the
+	// entry.
+	hopCost = retryUnit / 4
+	// retryCap bounds the balance, in retries: a burst of failures after a time
+	// without load starts with no more than this.
 	retryCap = 10
 )
 
 // Retry is the retry budget of one service at one node: retries are a share of
-// requests, whatever fails (Google, "Site Reliability Engineering", 2016,
+// requests, however many requests fail (Google, "Site Reliability Engineering", 2016,
 // chapter 22). Safe for concurrent use.
 type Retry struct {
 	mu      sync.Mutex
 	percent int
-	account int
+	balance int
 	denied  uint64
 	spent   uint64
 	hedges  hedges
 }
 
-// NewRetry returns a budget of a share of requests, in percent, with a full account.
+// NewRetry returns a budget of a share of requests, in percent, with a full balance.
 func NewRetry(percent int) *Retry {
-	return &Retry{percent: percent, account: startOf(percent)}
+	return &Retry{percent: percent, balance: initialBalance(percent)}
 }
 
-// startOf is the first account: a service without retries has none.
-func startOf(percent int) int {
+// initialBalance returns the balance at the start: none for a service without retries.
+func initialBalance(percent int) int {
 	if percent == 0 {
 		return 0
 	}
@@ -48,39 +49,39 @@
 		return
 	}
 	r.percent = percent
-	r.account = min(r.account, startOf(percent))
+	r.balance = min(r.balance, initialBalance(percent))
 }
 
-// Request pays in for one request. A request that exists only because a call
-// before it was retried must not pay in: retries would pay for retries.
+// Request credits one request. A request that exists only because a call before it
+// was retried must not be credited: retries would then allow further retries.
 func (r *Retry) Request() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.account = min(r.account+r.percent, retryCap*retryUnit)
-	r.hedges.pay()
+	r.balance = min(r.balance+r.percent, retryCap*retryUnit)
+	r.hedges.credit()
 }
 
-// Retry takes out one retry of a request that may have run, and says whether
-// there was one.
-func (r *Retry) Retry() bool { return r.take(retryUnit) }
+// Retry withdraws one retry of a request that may have run, and reports whether
+// the budget allows it.
+func (r *Retry) Retry() bool { return r.withdraw(retryUnit) }
 
-// Hop takes out one hop to another target after a refusal, and says whether
-// there was room for it.
-func (r *Retry) Hop() bool { return r.take(hopPrice) }
+// Hop withdraws one attempt at another target after a refusal, and reports whether
+// the budget allows it.
+func (r *Retry) Hop() bool { return r.withdraw(hopCost) }
 
-func (r *Retry) take(price int) bool {
+func (r *Retry) withdraw(cost int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.account < price {
+	if r.balance < cost {
 		r.denied++
 		return false
 	}
-	r.account -= price
+	r.balance -= cost
 	r.spent++
 	return true
 }
 
-// Counts gives how many retries and hops were granted and denied.
+// Counts returns how many retries and hops were granted and denied.
 func (r *Retry) Counts() (spent, denied uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/budget/window.go
+++ b/internal/budget/window.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// windowParts is how many parts a window is counted in: old parts leave it one
-// by one, so that a tenth of it is the most by which it is too long.
+// windowParts is the number of parts that a window is counted in. Old parts are
+// dropped one by one, so that the window is too long by at most a tenth.
 const windowParts = 10
 
-// Window bounds the repeats of requests at one node by those that came within
-// the last window, and a fixed number besides. Nodes don't coordinate: when each
-// keeps its own ratio and its share of the fixed number, so do all together,
-// wherever load moves and whoever vanishes. Safe for concurrent use.
+// Window bounds the repeated requests at one node to a ratio of the requests within
+// the last window, plus a fixed number. Nodes don't coordinate: if each keeps to the
+// ratio and its share of the fixed number, the fleet does too, however load moves
+// and whichever nodes fail. Safe for concurrent use.
 type Window struct {
 	mu sync.Mutex
-	// ratio is repeats for each request, slack how many more there may be.
+	// ratio is the number of repeats for each request, slack how many are allowed
+	// beyond that.
 	ratio, slack float64
 	part         time.Duration
 	parts        [windowParts]counts
@@ -26,7 +27,7 @@
 
 type counts struct{ requests, repeats int }
 
-// NewWindow returns a budget for a sliding window of a length.
+// NewWindow returns a budget for a sliding window of the given length.
 func NewWindow(length time.Duration, ratio, slack float64) *Window {
 	return &Window{ratio: ratio, slack: slack, part: max(length/windowParts, 1)}
 }
@@ -45,7 +46,7 @@
 	w.at(now).requests++
 }
 
-// Repeat takes one repeat, and says whether there was room for it.
+// Repeat withdraws one repeat and reports whether the budget allows it.
 func (w *Window) Repeat(now time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -64,14 +65,14 @@
 	return true
 }
 
-// Counts gives how many repeats were granted and denied.
+// Counts returns how many repeats were granted and denied.
 func (w *Window) Counts() (granted, denied uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.granted, w.denied
 }
 
-// at gives the part of the window that now falls in. The mutex is held.
+// at returns the part of the window that contains now. The caller holds the mutex.
 func (w *Window) at(now time.Duration) *counts {
 	number := int64(now / w.part)
 	for n := max(w.current+1, number-windowParts+1); n <= number; n++ {
--- a/internal/budget/window_test.go
+++ b/internal/budget/window_test.go
@@ -10,10 +10,10 @@
 	"github.com/limpetdock/limpetdock/internal/budget"
 )
 
-// A backend server fails everything during a burst, and every node repeats what it
-// may. Whenever a repeat is granted, those of the window up to then must be within
-// the node's share of what came in it.
-func TestEveryRepeatGrantedIsWithinTheShare(t *testing.T) {
+// A backend server fails all requests of a burst, and every node repeats as many as
+// it may. Whenever a repeat is granted, the repeats within the window must be within
+// the node's share of the requests in it.
+func TestGrantedRepeatsStayWithinRatioAndSlack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		ratio := rapid.SampledFrom([]float64{0, 0.1, 0.2, 1}).Draw(t, "ratio")
@@ -48,7 +48,7 @@
 	return n
 }
 
-func TestRepeatsComeBackAsTheWindowSlides(t *testing.T) {
+func TestRepeatsAreAllowedAgainAsTheWindowSlides(t *testing.T) {
 	w := budget.NewWindow(10*time.Second, 0, 1)
 	require.True(t, w.Repeat(0))
 	require.False(t, w.Repeat(9*time.Second))
