--- a/internal/limit/collect.go
+++ b/internal/limit/collect.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Use is a Row as people read it.
+// Use is a snapshot of a Row for state dumps and metrics.
 type Use struct {
 	Scope    Scope  `json:"scope"`
 	Name     string `json:"name"`
@@ -16,7 +16,7 @@
 	Refused  uint64 `json:"refused"`
 }
 
-// Uses copies every row, in order.
+// Uses returns a snapshot of every row, ordered by scope and name.
 func (t *Table) Uses() []Use {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,6 +1,6 @@
 // Package limit bounds the requests in flight of each service, team and route
-// at one node, before a target is chosen, so that one team's flood ends at its
-// own limit and costs the others nothing.
+// at one node, before a target is chosen, so that excess load of one team is
+// refused at that team's limit and doesn't affect the others.
 package limit
 
 import (
@@ -15,15 +15,16 @@
 )
 
 const (
-	// reserve is the part of a limit, 1/reserve, that is kept for the highest
-	// class of routes under it: reads are refused while bookings still pass.
+	// reserve is the inverse of the share of a limit that is reserved for the
+	// highest class of routes under it: reads are refused while bookings still pass.
 	reserve = 10
-	// retryAfter is when a refused caller is told to come back; as long again is
-	// added at random, so that callers refused together don't return together.
+	// retryAfter is the shortest delay that a refused caller is asked to wait. A
+	// random delay of up to the same length is added, so that callers refused
+	// together don't retry together.
 	retryAfter = time.Second
 )
 
-// Scope is what a limit is on.
+// Scope is the kind of object that a limit applies to.
 type Scope string
 
 // The scopes.
@@ -33,19 +34,19 @@
 	Route   Scope = "route"
 )
 
-// Row counts what is in flight under one limit. Safe for concurrent use.
+// Row counts the requests in flight under one limit. Safe for concurrent use.
 type Row struct {
 	Scope Scope
 	Name  string
-	// limit is 0 for none.
+	// limit is 0 if there is no limit.
 	limit    atomic.Int64
 	inFlight atomic.Int64
 	refused  atomic.Uint64
 }
 
-// take counts a request in, if there is room. A request of a lower class than
-// the highest one under the limit leaves the reserve alone.
-func (r *Row) take(highest bool) bool {
+// acquire counts a request as in flight and reports whether the limit allows it.
+// A request below the highest class under the limit can't use the reserve.
+func (r *Row) acquire(highest bool) bool {
 	limit := r.limit.Load()
 	if limit > 0 && !highest {
 		limit -= limit / reserve
@@ -70,12 +71,13 @@
 	name  string
 }
 
-// plan is what limits one service's requests.
+// plan holds the limits that apply to one service's requests.
 type plan struct {
 	team, service *Row
-	// teamTop and serviceTop are the highest classes under either.
-	teamTop, serviceTop int
-	routes              map[string]*Row
+	// teamMaxClass and serviceMaxClass are the highest route classes of the team
+	// and of the service.
+	teamMaxClass, serviceMaxClass int
+	routes                        map[string]*Row
 }
 
 // New returns a Table that admits everything until SetConfig is called.
@@ -85,16 +87,16 @@
 	return t
 }
 
-// SetConfig puts the limits of a configuration in force. What is in flight
-// stays counted.
+// SetConfig applies the limits of a configuration. Requests in flight stay
+// counted.
 func (t *Table) SetConfig(c *config.Config) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old := t.rows
 	t.rows = map[rowKey]*Row{}
-	teamTop := map[string]int{}
+	teamMaxClass := map[string]int{}
 	for _, s := range c.Services {
-		teamTop[s.Team] = max(teamTop[s.Team], topClass(s))
+		teamMaxClass[s.Team] = max(teamMaxClass[s.Team], maxClass(s))
 	}
 	for _, team := range c.Index.Fleet.Teams {
 		t.row(old, Team, team.Name, team.InFlight)
@@ -103,7 +105,7 @@
 	for name, s := range c.Services {
 		p := &plan{
 			team: t.rows[rowKey{Team, s.Team}], service: t.row(old, Service, name, s.InFlight),
-			teamTop: teamTop[s.Team], serviceTop: topClass(s), routes: map[string]*Row{},
+			teamMaxClass: teamMaxClass[s.Team], serviceMaxClass: maxClass(s), routes: map[string]*Row{},
 		}
 		for _, r := range s.Routes {
 			p.routes[r.Name] = t.row(old, Route, name+"/"+r.Name, r.InFlight)
@@ -113,7 +115,7 @@
 	t.plans.Store(&plans)
 }
 
-func topClass(s *config.Service) int {
+func maxClass(s *config.Service) int {
 	top := 0
 	for _, r := range s.Routes {
 		top = max(top, r.Class)
@@ -121,7 +123,7 @@
 	return top
 }
 
-// row takes over an old row or makes a new one. The mutex is held.
+// row reuses the old row of a limit or creates one. The caller holds the mutex.
 func (t *Table) row(old map[rowKey]*Row, scope Scope, name string, limit int) *Row {
 	key := rowKey{scope, name}
 	r := old[key]
@@ -133,10 +135,10 @@
 	return r
 }
 
-// Hold is the place of an admitted request under its limits.
+// Hold is the reservation of an admitted request under its limits.
 type Hold struct{ rows [3]*Row }
 
-// Release gives the place back. It must be called exactly once.
+// Release ends the reservation. It must be called exactly once.
 func (h Hold) Release() {
 	for _, r := range h.rows {
 		if r != nil {
@@ -145,8 +147,9 @@
 	}
 }
 
-// Admit takes a place for a request of a service, or refuses it at once: it has
-// not run and will not. route is nil for a request that no route matches.
+// Admit reserves capacity for a request of a service, or refuses it at once. A
+// refused request has not run and will not run. route is nil for a request that
+// no route matches.
 func (t *Table) Admit(service string, route *fleet.Route) (Hold, *kind.Error) {
 	p := (*t.plans.Load())[service]
 	if p == nil {
@@ -159,9 +162,9 @@
 		h.rows[2] = p.routes[route.Name]
 	}
 	h.rows[0], h.rows[1] = p.team, p.service
-	highest := [3]bool{class >= p.teamTop, class >= p.serviceTop, true}
+	highest := [3]bool{class >= p.teamMaxClass, class >= p.serviceMaxClass, true}
 	for i, r := range h.rows {
-		if r == nil || r.take(highest[i]) {
+		if r == nil || r.acquire(highest[i]) {
 			continue
 		}
 		clear(h.rows[i:])
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -17,7 +17,7 @@
 	slow = fleet.Route{Name: "slow", Class: 1, InFlight: 2}
 )
 
-// declared is a fleet of two teams; the first has two services.
+// declared returns a configuration of two teams; the first has two services.
 func declared(teamLimit, serviceLimit int) *config.Config {
 	service := func(name, team string) *config.Service {
 		return &config.Service{Service: fleet.Service{
@@ -35,7 +35,7 @@
 	}
 }
 
-// admitted makes tries that stay in flight and gives how many passed.
+// admitted sends requests that stay in flight and returns how many were admitted.
 func admitted(t *Table, service string, route *fleet.Route, tries int) (n int) {
 	for range tries {
 		if _, e := t.Admit(service, route); e == nil {
@@ -67,29 +67,28 @@
 	}
 }
 
-// The flights team's new board asks for the manifest in a loop, from every
-// station at once. The ground team's requests, and the flights team's own
-// bookings, must still pass.
-func TestFloodOfOneTeamHarmsNoOther(t *testing.T) {
+// One team's client requests the manifest in a loop from every station. Requests
+// of the other team, and the same team's bookings, must still be admitted.
+func TestTeamOverItsLimitDoesNotAffectOtherTeams(t *testing.T) {
 	table := New()
 	table.SetConfig(declared(100, 0))
 	require.Equal(t, 90, admitted(table, "manifest", &read, 10_000))
-	require.Equal(t, 10, admitted(table, "booking", &book, 10), "bookings outlive reads")
-	require.Equal(t, 90, admitted(table, "operations", &read, 90), "the other team has all of its limit")
+	require.Equal(t, 10, admitted(table, "booking", &book, 10), "bookings are admitted when reads are refused")
+	require.Equal(t, 90, admitted(table, "operations", &read, 90), "the other team can use its whole limit")
 	_, e := table.Admit("manifest", &read)
 	require.Equal(t, kind.OverLimit, e.Kind)
 	require.Equal(t, kind.NotRun, e.Said())
 	require.GreaterOrEqual(t, e.RetryAfter, retryAfter)
 }
 
-func TestRefusedRequestLeavesNothingCounted(t *testing.T) {
+func TestRefusedRequestIsNotCountedInFlight(t *testing.T) {
 	table := New()
 	table.SetConfig(declared(100, 100))
 	require.Equal(t, 2, admitted(table, "manifest", &slow, 50))
 	require.Equal(t, 98, admitted(table, "manifest", &book, 500))
 }
 
-func TestReleaseAndNewConfiguration(t *testing.T) {
+func TestRequestsInFlightStayCountedAfterNewConfiguration(t *testing.T) {
 	table := New()
 	table.SetConfig(declared(2, 0))
 	hold, e := table.Admit("manifest", &book)
@@ -101,7 +100,7 @@
 	require.Equal(t, 0, admitted(table, "unheard-of", nil, 0))
 }
 
-func TestUseAndRefusalsAreVisible(t *testing.T) {
+func TestUsesAndMetricsShowRefusals(t *testing.T) {
 	table := New()
 	table.SetConfig(declared(1, 0))
 	admitted(table, "manifest", &book, 4)
