--- a/internal/suspect/fingerprint.go
+++ b/internal/suspect/fingerprint.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// volatile are the headers that differ between two sendings of one request.
+// volatile holds the headers that may differ between two attempts of one request.
 var volatile = map[string]bool{
 	"X-Request-Id": true, "Idempotency-Key": true, "Traceparent": true, "Tracestate": true,
 	"Date": true, "Content-Length": true, "Connection": true, "User-Agent": true, "Expect": true,
@@ -15,9 +15,9 @@
 
 const ownPrefix = "Limpetdock-"
 
-// Fingerprint tells requests apart by what a backend server gets to see of
-// them: service, method, path, query, held body, and the headers that don't
-// change from one sending to the next. Headers count in any order.
+// Fingerprint returns a hash of what a backend server sees of a request: service,
+// method, path, query, buffered body, and the headers that don't change from one
+// attempt to the next. The order of the headers doesn't matter.
 func Fingerprint(service string, r *http.Request, body []byte) uint64 {
 	sum := xxhash.Sum64String(service + "\x00" + r.Method + "\x00" + r.URL.RequestURI())
 	var d xxhash.Digest
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -1,11 +1,11 @@
 // Package suspect keeps track of requests that may crash backend servers. When
-// a backend server dies, the requests in flight on it are suspects; a suspect
-// runs alone on its target, and one that was alone when a second backend server
-// died is blocked for a while. A completed run clears it.
+// a backend server dies, the requests in flight on it become suspects. A suspect
+// runs alone on its target. One that was alone when a second backend server died
+// is blocked for a limited time. A completed run clears it.
 //
-// A Table is pure: time is an argument, and it belongs to one goroutine. The
-// Sets it gives out are immutable. Tables of different nodes are merged by
-// gossip; merging is commutative and idempotent, so order and repeats don't matter.
+// A Table reads no clock: time is an argument. It must be used by one goroutine
+// only; the Sets it returns are immutable. Tables of different nodes are merged by
+// gossip. Merging is commutative and idempotent, so order and repeats don't matter.
 package suspect
 
 import (
@@ -18,32 +18,32 @@
 const (
 	// BlockFor is how long a suspect is remembered after its last death.
 	BlockFor = 2 * time.Minute
-	// maxRows bounds the table; the row that would expire first makes room.
+	// maxRows bounds the table; when it is full, the row that expires first is evicted.
 	maxRows = 256
-	// maxDeaths bounds the deaths kept for one row; more change nothing.
+	// maxDeaths bounds the deaths kept for one row; more would not change its level.
 	maxDeaths = 8
-	// blockedAt deaths, one of them alone, block a request.
+	// blockedAt is the number of deaths, at least one of them alone, that block a request.
 	blockedAt = 2
 )
 
-// Level is how a request is to be treated.
+// Level is how a request is treated.
 type Level uint8
 
 // The levels.
 const (
-	// Innocent requests run like any other.
+	// Unsuspected requests run without restrictions.
 	Innocent Level = iota
 	// Suspected requests run alone on their target.
 	Suspected
-	// Blocked requests are answered without a run.
+	// Blocked requests are refused without a run.
 	Blocked
 )
 
-// Death is one end of a backend server with a request in flight.
+// Death is one death of a backend server with a request in flight.
 type Death struct {
-	// ID names the death: the same for all requests that were in flight.
+	// ID identifies the death. It is the same for all requests that were in flight.
 	ID uint64
-	// Alone says that the request was the only one running there.
+	// Alone is true if the request was the only one running there.
 	Alone bool
 }
 
@@ -53,17 +53,17 @@
 	until   time.Duration
 }
 
-// Table is one node's rows by fingerprint.
+// Table holds one node's rows by fingerprint.
 type Table struct {
-	rows  map[uint64]*row
-	turn  uint64
-	dirty bool
+	rows   map[uint64]*row
+	cursor uint64
+	dirty  bool
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{rows: map[uint64]*row{}} }
 
-// Died notes that a request was in flight when a backend server died.
+// RecordDeath records that a request was in flight when a backend server died.
 func (t *Table) Died(fingerprint uint64, d Death, now time.Duration) {
 	r := t.row(fingerprint, now)
 	if r.add(d) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// Clear notes that a request like it has run to its end: the deaths known so
-// far weren't its doing.
+// Clear records that a request with the fingerprint has completed, so that it did
+// not cause the deaths known so far.
 func (t *Table) Clear(fingerprint uint64) {
 	r := t.rows[fingerprint]
 	if r == nil {
@@ -98,25 +98,25 @@
 }
 
 func (t *Table) evict() {
-	var first uint64
+	var earliest uint64
 	var at time.Duration = -1
 	for f, r := range t.rows {
-		if at < 0 || r.until < at || r.until == at && f < first {
-			first, at = f, r.until
+		if at < 0 || r.until < at || r.until == at && f < earliest {
+			earliest, at = f, r.until
 		}
 	}
-	delete(t.rows, first)
+	delete(t.rows, earliest)
 }
 
-// add keeps a death; it returns false if it was known in this form.
+// add records a death and reports whether it changed the row.
 func (r *row) add(d Death) bool {
 	for i := range r.deaths {
 		if r.deaths[i].ID != d.ID {
 			continue
 		}
-		news := d.Alone && !r.deaths[i].Alone
+		changed := d.Alone && !r.deaths[i].Alone
 		r.deaths[i].Alone = r.deaths[i].Alone || d.Alone
-		return news
+		return changed
 	}
 	if len(r.deaths) >= maxDeaths {
 		return false
@@ -133,7 +133,7 @@
 	return true
 }
 
-// level counts the deaths that no completed run has cleared.
+// level returns the level by the deaths that no completed run has cleared.
 func (r *row) level() Level {
 	open, alone := 0, false
 	for _, d := range r.deaths {
@@ -152,7 +152,7 @@
 	return Innocent
 }
 
-// Expire drops rows whose time has come.
+// Expire deletes expired rows.
 func (t *Table) Expire(now time.Duration) {
 	for f, r := range t.rows {
 		if now >= r.until {
@@ -162,33 +162,34 @@
 	}
 }
 
-// Merge takes news of a peer. Only a death that is news sets a row's end, so
-// that rows can't keep each other alive by being told around.
-func (t *Table) Merge(news wire.Suspect, now time.Duration) {
-	left := min(time.Duration(news.ExpiresMs)*time.Millisecond, BlockFor)
-	if left <= 0 {
+// Merge applies an update from a peer. Only a new death extends a row's expiry,
+// so that gossip alone can't keep rows alive.
+func (t *Table) Merge(update wire.Suspect, now time.Duration) {
+	remaining := min(time.Duration(update.ExpiresMs)*time.Millisecond, BlockFor)
+	if remaining <= 0 {
 		return
 	}
-	known := t.rows[news.Fingerprint] != nil
-	r := t.row(news.Fingerprint, now)
+	known := t.rows[update.Fingerprint] != nil
+	r := t.row(update.Fingerprint, now)
 	if !known {
-		r.until = now + left
+		r.until = now + remaining
 	}
-	for i, id := range news.Deaths {
-		alone := i < len(news.Alone) && news.Alone[i]
+	for i, id := range update.Deaths {
+		alone := i < len(update.Alone) && update.Alone[i]
 		if r.add(Death{ID: id, Alone: alone}) {
-			r.until = max(r.until, now+left)
+			r.until = max(r.until, now+remaining)
 			t.dirty = true
 		}
 	}
-	for _, id := range news.Cleared {
+	for _, id := range update.Cleared {
 		if r.clear(id) {
 			t.dirty = true
 		}
 	}
 }
 
-// News gives up to limit rows to tell a peer, others each time.
+// NextBatch returns up to limit rows to send to a peer. Successive calls cycle
+// through all rows.
 func (t *Table) News(limit int, now time.Duration) []wire.Suspect {
 	if len(t.rows) == 0 {
 		return nil
@@ -198,16 +199,16 @@
 		order = append(order, f)
 	}
 	slices.Sort(order)
-	news := make([]wire.Suspect, 0, min(limit, len(order)))
+	batch := make([]wire.Suspect, 0, min(limit, len(order)))
 	for range min(limit, len(order)) {
-		t.turn++
-		f := order[t.turn%uint64(len(order))]
-		news = append(news, t.rows[f].news(f, now))
+		t.cursor++
+		f := order[t.cursor%uint64(len(order))]
+		batch = append(batch, t.rows[f].encode(f, now))
 	}
-	return news
+	return batch
 }
 
-func (r *row) news(fingerprint uint64, now time.Duration) wire.Suspect {
+func (r *row) encode(fingerprint uint64, now time.Duration) wire.Suspect {
 	s := wire.Suspect{
 		Fingerprint: fingerprint, Cleared: slices.Clone(r.cleared),
 		ExpiresMs: uint32(max(0, r.until-now).Milliseconds()),
@@ -219,17 +220,17 @@
 	return s
 }
 
-// Set is what traffic goroutines know of suspects. It is immutable.
+// Set holds the suspects by fingerprint for traffic goroutines. It is immutable.
 type Set map[uint64]Entry
 
 // Entry is a row of a Set.
 type Entry struct {
 	Level Level
-	// Until is the time since the node's start at which the row is forgotten.
+	// Until is the time since the node's start at which the row expires.
 	Until time.Duration
 }
 
-// Changed gives a new Set if anything has changed since the last call.
+// Changed returns a new Set if anything has changed since the last call.
 func (t *Table) Changed() (Set, bool) {
 	if !t.dirty {
 		return nil, false
@@ -244,11 +245,11 @@
 	return set, true
 }
 
-// Dump gives the rows for people to read.
+// Dump returns all rows for state dumps, ordered by fingerprint.
 func (t *Table) Dump(now time.Duration) []wire.Suspect {
 	out := make([]wire.Suspect, 0, len(t.rows))
 	for f, r := range t.rows {
-		out = append(out, r.news(f, now))
+		out = append(out, r.encode(f, now))
 	}
 	slices.SortFunc(out, func(a, b wire.Suspect) int {
 		if a.Fingerprint < b.Fingerprint {
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -12,42 +12,42 @@
 )
 
 func level(t *suspect.Table, f uint64) suspect.Level {
-	// Changed tells only changes; a row of its own makes sure there is one.
+	// Changed returns a Set only after a change; an unrelated row causes one.
 	t.Died(1<<63, suspect.Death{ID: uint64(time.Now().UnixNano())}, 0)
 	set, _ := t.Changed()
 	return set[f].Level
 }
 
-// A request crashes the backend server it runs on, is tried alone on a second
-// one, and crashes that too. Whoever sends it a third time gets an answer
-// without a run; the bystanders of the first crash are served.
-func TestAKillerIsBlockedAndABystanderIsCleared(t *testing.T) {
+// A request crashes the backend server it runs on, is retried alone on a second
+// one, and crashes that too. A third attempt must be refused without a run. Other
+// requests that were in flight at the first crash must still be served.
+func TestCrashingRequestIsBlockedAndOtherRequestIsCleared(t *testing.T) {
 	table := suspect.NewTable()
-	const killer, bystander = 1, 2
-	table.Died(killer, suspect.Death{ID: 10}, 0)
-	table.Died(bystander, suspect.Death{ID: 10}, 0)
-	require.Equal(t, suspect.Suspected, level(table, killer))
-	require.Equal(t, suspect.Suspected, level(table, bystander))
-	table.Clear(bystander)
-	table.Died(killer, suspect.Death{ID: 11, Alone: true}, 0)
-	require.Equal(t, suspect.Blocked, level(table, killer))
-	require.Equal(t, suspect.Innocent, level(table, bystander))
+	const crashing, unrelated = 1, 2
+	table.Died(crashing, suspect.Death{ID: 10}, 0)
+	table.Died(unrelated, suspect.Death{ID: 10}, 0)
+	require.Equal(t, suspect.Suspected, level(table, crashing))
+	require.Equal(t, suspect.Suspected, level(table, unrelated))
+	table.Clear(unrelated)
+	table.Died(crashing, suspect.Death{ID: 11, Alone: true}, 0)
+	require.Equal(t, suspect.Blocked, level(table, crashing))
+	require.Equal(t, suspect.Innocent, level(table, unrelated))
 	table.Expire(suspect.BlockFor)
-	require.Equal(t, suspect.Innocent, level(table, killer))
+	require.Equal(t, suspect.Innocent, level(table, crashing))
 }
 
 // Two backend servers are killed by hand at the same moment with the same
 // popular read in flight on both. It never ran alone, so it must not be blocked.
-func TestTwoDeathsInCompanyDoNotBlock(t *testing.T) {
+func TestTwoDeathsWithOtherRequestsInFlightDoNotBlock(t *testing.T) {
 	table := suspect.NewTable()
 	table.Died(1, suspect.Death{ID: 10}, 0)
 	table.Died(1, suspect.Death{ID: 11}, 0)
 	require.Equal(t, suspect.Suspected, level(table, 1))
 }
 
-// News of an old death arrives after the request was cleared of it. It must
-// not become a suspect again.
-func TestLateNewsOfAClearedDeath(t *testing.T) {
+// The report of an old death arrives after the request was cleared of it. The
+// request must not become a suspect again.
+func TestLateReportOfClearedDeathIsIgnored(t *testing.T) {
 	a, b := suspect.NewTable(), suspect.NewTable()
 	a.Died(1, suspect.Death{ID: 10}, 0)
 	late := a.News(1, 0)[0]
@@ -59,7 +59,7 @@
 	require.Equal(t, suspect.Suspected, level(b, 1))
 }
 
-// A row told around between nodes must end, whoever tells it last.
+// A row that is gossiped between nodes must expire, whichever node sends it last.
 func TestGossipDoesNotKeepRowsAlive(t *testing.T) {
 	a, b := suspect.NewTable(), suspect.NewTable()
 	a.Died(1, suspect.Death{ID: 10}, 0)
@@ -68,9 +68,9 @@
 	for now < 2*suspect.BlockFor {
 		for _, pair := range [][2]*suspect.Table{{a, b}, {b, a}} {
 			pair[0].Expire(now)
-			news := pair[0].News(1, now)
+			batch := pair[0].News(1, now)
 			now += delay
-			for _, n := range news {
+			for _, n := range batch {
 				pair[1].Merge(n, now)
 			}
 		}
@@ -82,8 +82,8 @@
 	require.Empty(t, b.Dump(now))
 }
 
-// Nodes hear the same news in different orders and more than once. They must
-// come to the same verdict.
+// Nodes receive the same updates in different orders and more than once. They
+// must reach the same level.
 func TestMergeIgnoresOrderAndRepeats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := suspect.NewTable(), suspect.NewTable(), suspect.NewTable()
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestTheTableIsBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	table := suspect.NewTable()
 	for f := range uint64(10_000) {
 		table.Died(f, suspect.Death{ID: f}, time.Duration(f))
