--- a/internal/pick/current.go
+++ b/internal/pick/current.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// Current is the View in force, which traffic goroutines read without a lock.
+// Current holds the current View, which traffic goroutines read without a lock.
 // The zero value holds none. Safe for concurrent use.
 type Current struct {
 	view    atomic.Pointer[View]
@@ -14,10 +14,10 @@
 	changed chan struct{}
 }
 
-// Load gives the View in force, or nil.
+// Load returns the current View, or nil.
 func (c *Current) Load() *View { return c.view.Load() }
 
-// Store puts a View in force and wakes those who wait for one.
+// Store replaces the current View and wakes all waiters.
 func (c *Current) Store(v *View) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -28,7 +28,7 @@
 	}
 }
 
-// Wait gives the View in force as soon as it fits, or nil when ctx ends first.
+// Wait returns the current View as soon as fits accepts it, or nil if ctx ends first.
 func (c *Current) Wait(ctx context.Context, fits func(*View) bool) *View {
 	for {
 		changed := c.next()
@@ -43,7 +43,7 @@
 	}
 }
 
-// next gives a channel that the next Store closes.
+// next returns a channel that the next Store closes.
 func (c *Current) next() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/pick/gather.go
+++ b/internal/pick/gather.go
@@ -1,41 +1,42 @@
 package pick
 
-// maxEjected is the share of targets, 1/maxEjected, that may be ejected as
-// outliers. When more fail, the fault is hardly theirs, and leaving them out
-// would only crowd the rest (the panic threshold of the field).
+// maxEjected is the inverse of the share of targets that may be ejected as
+// outliers. When more fail, they probably share a cause, and ejecting them would
+// only overload the rest (a panic threshold).
 const maxEjected = 2
 
-// gathering holds the candidates of one choice, in room of its own.
-type gathering struct {
-	// home are the candidates of the own region, inZone of them in the own zone, first.
-	home   []*Target
-	inZone int
-	far    []*Target
-	stands []standing
-	// worst is the standing up to which targets are candidates.
-	worst standing
+// candidateSet holds the candidates of one choice, in buffers of its own.
+type candidateSet struct {
+	// home holds the candidates of the own region; the first inZone of them are in
+	// the own zone.
+	home        []*Target
+	inZone      int
+	far         []*Target
+	eligibility []eligibility
+	// worst is the worst eligibility that candidates may have.
+	worst eligibility
 
-	homeRoom   [maxNear]*Target
-	farRoom    [maxFar]*Target
-	standsRoom [maxNear + maxFar]standing
+	homeBuf        [maxNear]*Target
+	farBuf         [maxFar]*Target
+	eligibilityBuf [maxNear + maxFar]eligibility
 }
 
-// reset empties the gathering.
-func (g *gathering) reset() {
-	g.home, g.inZone, g.far, g.stands = g.homeRoom[:0], 0, g.farRoom[:0], g.standsRoom[:0]
+// reset empties the set.
+func (g *candidateSet) reset() {
+	g.home, g.inZone, g.far, g.eligibility = g.homeBuf[:0], 0, g.farBuf[:0], g.eligibilityBuf[:0]
 }
 
-// judge notes how every target stands, and which standing is bad enough to be
-// left out.
-func (g *gathering) judge(s *Service, a *Ask) {
+// classify determines every target's eligibility and the worst one that candidates
+// may have.
+func (g *candidateSet) classify(s *Service, a *Ask) {
 	g.reset()
 	outliers := 0
 	for _, t := range s.Targets {
-		stands := t.standing(a)
-		if stands == outlier {
+		status := t.eligibility(a)
+		if status == outlier {
 			outliers++
 		}
-		g.stands = append(g.stands, stands)
+		g.eligibility = append(g.eligibility, status)
 	}
 	g.worst = usable
 	if outliers*maxEjected > len(s.Targets) {
@@ -43,49 +44,50 @@
 	}
 }
 
-func (t *Target) standing(a *Ask) standing {
+func (t *Target) eligibility(a *Ask) eligibility {
 	if t.Leaving {
 		return leaving
 	}
-	return t.Stat.standing(a.Now, a.Rand)
+	return t.Stat.eligibility(a.Now, a.Rand)
 }
 
-// gather sorts the targets that may be chosen by where they stand. When none is
-// usable, the best of the others are taken: one more try beats a certain refusal.
-func (g *gathering) gather(s *Service, a *Ask) {
-	g.judge(s, a)
+// collect collects the targets that may be chosen, by region. When none is usable,
+// it falls back to the best of the others: an attempt may succeed, while without a
+// target the request is refused for certain.
+func (g *candidateSet) collect(s *Service, a *Ask) {
+	g.classify(s, a)
 	for worst := g.worst; worst <= leaving; worst++ {
-		g.takeHome(s, a, worst)
+		g.collectHome(s, a, worst)
 		if len(g.home) == 0 && worst == usable {
-			// A refusal a moment ago is no reason to leave the region: that is
-			// decided by cost, in small steps.
-			g.takeHome(s, a, avoided)
+			// A recent refusal is no reason to leave the region: that is decided by
+			// estimated delays, in small steps.
+			g.collectHome(s, a, avoided)
 		}
 		g.far = g.far[:0]
 		if len(g.home) > 0 {
 			return
 		}
-		if g.takeFar(s, a, worst); len(g.far) > 0 {
+		if g.collectFar(s, a, worst); len(g.far) > 0 {
 			return
 		}
 	}
 }
 
-// takeFar gathers the other regions' targets up to a standing.
-func (g *gathering) takeFar(s *Service, a *Ask, worst standing) {
+// collectFar collects the other regions' targets that are not worse than worst.
+func (g *candidateSet) collectFar(s *Service, a *Ask, worst eligibility) {
 	g.far = g.far[:0]
 	for i := s.InRegion; i < len(s.Targets); i++ {
-		if g.stands[i] <= worst && s.Targets[i].offered(a.Tried) {
+		if g.eligibility[i] <= worst && s.Targets[i].mayTry(a.Tried) {
 			g.far = append(g.far, s.Targets[i])
 		}
 	}
 }
 
-// takeHome gathers the own region's targets up to a standing.
-func (g *gathering) takeHome(s *Service, a *Ask, worst standing) {
+// collectHome collects the own region's targets that are not worse than worst.
+func (g *candidateSet) collectHome(s *Service, a *Ask, worst eligibility) {
 	g.home, g.inZone = g.home[:0], 0
 	for i, t := range s.Targets[:s.InRegion] {
-		if g.stands[i] > worst || !t.offered(a.Tried) {
+		if g.eligibility[i] > worst || !t.mayTry(a.Tried) {
 			continue
 		}
 		g.home = append(g.home, t)
@@ -95,8 +97,9 @@
 	}
 }
 
-// offered says whether the target may be offered a request that was tried elsewhere.
-func (t *Target) offered(tried []*Target) bool {
+// mayTry reports whether the target may be tried for a request that was already
+// attempted at tried.
+func (t *Target) mayTry(tried []*Target) bool {
 	if t.Guard == "" {
 		return false
 	}
--- a/internal/pick/hedge_test.go
+++ b/internal/pick/hedge_test.go
@@ -14,9 +14,9 @@
 	"github.com/limpetdock/limpetdock/internal/place"
 )
 
-// The wait for a copy is the 95th percentile of what was seen lately, at most an
-// eighth too long and never too short, at any speed of the service.
-func TestHedgeAfterFollowsTheService(t *testing.T) {
+// The hedge delay is the 95th percentile of recent durations, at most an eighth too
+// long and never too short, at any speed of the service.
+func TestHedgeDelayFollowsRecentDurations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		var d durations
@@ -25,7 +25,7 @@
 		}
 		scale := rapid.Int64Range(int64(time.Millisecond), int64(10*time.Second)).Draw(t, "scale")
 		var seen []time.Duration
-		// Two generations are certain to hold nothing of before.
+		// After two generations no earlier samples remain.
 		for i := range 3 * generation {
 			took := time.Duration(rnd.ExpFloat64() * float64(scale))
 			d.add(took)
@@ -34,10 +34,10 @@
 			}
 		}
 		slices.Sort(seen)
-		// It may be of any 256 to 512 of the last samples, whose own p95 differs.
+		// It may cover any 256 to 512 of the last samples, whose own p95 differs.
 		low, high := seen[len(seen)*88/100], seen[len(seen)*99/100]
-		require.GreaterOrEqual(t, d.high(), low)
-		require.LessOrEqual(t, d.high(), high+high/subBuckets+time.Microsecond)
+		require.GreaterOrEqual(t, d.percentile95(), low)
+		require.LessOrEqual(t, d.percentile95(), high+high/subBuckets+time.Microsecond)
 	})
 }
 
@@ -52,7 +52,8 @@
 	}
 }
 
-// hedgeService is a service of five targets: two in the own zone, one beside it, two far.
+// hedgeService returns a service of five targets: two in the own zone, one in another
+// zone of the region, two in another region.
 func hedgeService() *Service {
 	distances := []place.Distance{place.SameZone, place.SameZone, place.SameRegion, place.OtherRegion, place.OtherRegion}
 	var targets []*Target
@@ -65,9 +66,9 @@
 	return NewService(c, targets, targets, 3, &Shared{})
 }
 
-// A copy that wins is only the better answer if it goes to a server that is well; and one
-// that leaves the region is paid for, on every request that is slow.
-func TestWhereACopyGoes(t *testing.T) {
+// A copy helps only if it goes to a healthy server. A copy to another region costs
+// traffic between regions for every slow request.
+func TestChooseHedgeTargets(t *testing.T) {
 	eject := func(targets ...*Target) {
 		for _, t := range targets {
 			t.Stat.health.Store(&health{phase: ejected, until: time.Hour})
@@ -78,16 +79,16 @@
 		change func(home, far []*Target)
 		want   string
 	}{
-		"never the first's target":        {0, func(_, _ []*Target) {}, "b"},
-		"home, though the first is far":   {3, func(_, _ []*Target) {}, "ab"},
-		"not one that is ejected":         {0, func(home, _ []*Target) { eject(home[1]) }, "c"},
-		"not one that leaves":             {0, func(home, _ []*Target) { home[1].Leaving = true }, "c"},
-		"far, if home has no other":       {0, func(home, _ []*Target) { eject(home[1:]...) }, "de"},
-		"not far, because home refused":   {0, func(home, _ []*Target) { eject(home[1]); home[2].Stat.Avoid(time.Hour) }, ""},
-		"nowhere, if none is well":        {0, func(home, far []*Target) { eject(home[1:]...); eject(far...) }, ""},
-		"not even when most are ejected":  {2, func(home, far []*Target) { eject(home...); eject(far[0]) }, "e"},
-		"nowhere, if no slot is free":     {0, func(home, _ []*Target) { home[1].Stat.InFlight.Store(4) }, ""},
-		"nowhere, if none has an address": {0, func(home, far []*Target) { home[1].Guard, home[2].Guard, far[0].Guard, far[1].Guard = "", "", "", "" }, ""},
+		"never the first target":         {0, func(_, _ []*Target) {}, "b"},
+		"home, though the first is far":  {3, func(_, _ []*Target) {}, "ab"},
+		"not one that is ejected":        {0, func(home, _ []*Target) { eject(home[1]) }, "c"},
+		"not one that leaves":            {0, func(home, _ []*Target) { home[1].Leaving = true }, "c"},
+		"far, if home has no other":      {0, func(home, _ []*Target) { eject(home[1:]...) }, "de"},
+		"not far, because home refused":  {0, func(home, _ []*Target) { eject(home[1]); home[2].Stat.Avoid(time.Hour) }, ""},
+		"none, if none is healthy":       {0, func(home, far []*Target) { eject(home[1:]...); eject(far...) }, ""},
+		"not ejected ones, even if most": {2, func(home, far []*Target) { eject(home...); eject(far[0]) }, "e"},
+		"none, if no slot is free":       {0, func(home, _ []*Target) { home[1].Stat.InFlight.Store(4) }, ""},
+		"none, if none has an address":   {0, func(home, far []*Target) { home[1].Guard, home[2].Guard, far[0].Guard, far[1].Guard = "", "", "", "" }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := hedgeService()
@@ -107,9 +108,10 @@
 	}
 }
 
-// A copy's loser was cancelled. Taken for a quick answer it would make a frozen server
-// the favourite; taken for a failure it would eject a server that was only slower.
-func TestALosersTimeIsALowerBound(t *testing.T) {
+// When a copy answers first, the other exchange is canceled. Counted as a quick answer,
+// it would make a frozen server the preferred one; counted as a failure, it would eject
+// a server that was only slower.
+func TestTimeOfSupersededExchangeIsALowerBound(t *testing.T) {
 	end := func(took time.Duration, o Outcome) *Target {
 		s := hedgeService()
 		target := s.Targets[0]
@@ -125,7 +127,7 @@
 	}
 	now := time.Second + time.Millisecond
 	before := end(0, Neutral).Cost(now)
-	require.Equal(t, before, end(2*time.Millisecond, Outrun).Cost(now), "less than usual says nothing")
+	require.Equal(t, before, end(2*time.Millisecond, Outrun).Cost(now), "a time below the average is no evidence")
 	slow := end(time.Second, Outrun)
 	require.Greater(t, slow.Cost(now), 5*before)
 	require.Zero(t, slow.Stat.failing.Load())
--- a/internal/pick/idle.go
+++ b/internal/pick/idle.go
@@ -1,10 +1,10 @@
 package pick
 
-// idleHints takes a target whose guard reported a free slot, each hint once,
-// and a random target when there is no hint (Lu et al., "Join-Idle-Queue: A
+// idleHints chooses a target whose guard reported a free slot, using each hint once,
+// and a random target if there is no hint (Lu et al., "Join-Idle-Queue: A
 // Novel Load Balancing Algorithm for Dynamically Scalable Web Services",
-// Performance Evaluation 2011). There idle servers enlist by themselves; here
-// the hint rides on replies, under the measuring budget.
+// Performance Evaluation 2011). In that paper idle servers register themselves; here
+// the hint is sent with replies, within the measuring budget.
 type idleHints struct{}
 
 func (idleHints) Choose(d Draw, among []*Target) *Target {
--- a/internal/pick/leastload.go
+++ b/internal/pick/leastload.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// leastLoad takes the cheapest of all candidates by Cost, and a random one of
-// those that are dearer by less than half a request: such a difference is noise.
-// An entry knows few targets, and its own requests in flight are exact and
-// known to it alone, so that looking at all of them doesn't send every entry to the
-// same one; the reports that all entries see count only beyond what chance
-// explains (see Target.others).
+// leastLoad chooses the candidate with the least Cost. Among those whose Cost is
+// greater by less than half a request it chooses at random: such a difference is
+// noise. An entry uses few targets, and knows only its own requests in flight
+// exactly. So comparing all targets doesn't lead every entry to the same one.
+// Reports, which all entries see, count only beyond random variation (see
+// Target.others).
 type leastLoad struct{}
 
 func (leastLoad) Choose(d Draw, among []*Target) *Target {
@@ -43,8 +43,8 @@
 	return among[0]
 }
 
-// halfRequest is half of what one more request in flight adds to Cost.
+// halfRequest returns half of what one more request in flight adds to Cost.
 func (t *Target) halfRequest(now time.Duration) float64 {
-	_, server := t.idle(now)
+	_, server := t.unloaded(now)
 	return server / float64(2*max(t.Slots, 1))
 }
--- a/internal/pick/noise_test.go
+++ b/internal/pick/noise_test.go
@@ -22,7 +22,8 @@
 	shiftEvery      = 8 * time.Millisecond
 )
 
-// slows makes servers take so many times as long between two moments.
+// slows returns a condition that multiplies servers' service times by factor between
+// two times.
 func slows(factor time.Duration, from, to time.Duration, which ...int) func(*sim, []Place, uint64) {
 	return func(s *sim, at []Place, _ uint64) {
 		for _, i := range which {
@@ -33,7 +34,8 @@
 	}
 }
 
-// neighbours shifts the service time of each server, the mean as before.
+// neighbours is a condition that varies the service time of each server around the
+// same mean.
 func neighbours(s *sim, at []Place, seed uint64) {
 	const most = 60 * time.Millisecond
 	noise := rand.New(rand.NewPCG(seed, 5))
@@ -48,7 +50,7 @@
 	shift()
 }
 
-// conditions are those of the experiments, for one region.
+// conditions holds the conditions of the experiments, for one region.
 var conditions = map[string]func(*sim, []Place, uint64){
 	"steady":     func(*sim, []Place, uint64) {},
 	"slow":       slows(10, 2*time.Second, 5*time.Second, 0),
@@ -57,7 +59,7 @@
 	"cold":       slows(10, 2*time.Second, 5*time.Second, 0, 3),
 }
 
-// slowest gives the milliseconds that one request in a thousand exceeds, of one
+// slowest returns the 99.9th percentile of the response time in milliseconds, of one
 // region's six servers at 70 % load with an entry beside each.
 func slowest(policy string, condition func(*sim, []Place, uint64), slots int, seed uint64) float64 {
 	at := places(1, 2, 3)
@@ -75,7 +77,7 @@
 	return float64(s.took[len(s.took)*999/1000]) / float64(time.Millisecond)
 }
 
-// overSeeds gives slowest for every seed.
+// overSeeds returns the result of slowest for every seed.
 func overSeeds(policy string, condition func(*sim, []Place, uint64), slots int) []float64 {
 	all := make([]float64, *seeds)
 	var wg sync.WaitGroup
@@ -97,11 +99,11 @@
 	return mean, math.Sqrt(spread)
 }
 
-// Neighbours come and go within milliseconds: what a report or an average tells
-// is older than that, and to follow it makes the slowest answers slower. A server
-// that slows for good must be left at once all the same. A default that has
-// one without the other fails here: it is compared with policies that know less.
-func TestTheDefaultIsNoWorseThanWhatKnowsLess(t *testing.T) {
+// Interference by neighbours changes within milliseconds. Reports and averages are
+// older than that, and following them makes the slowest answers slower. A server with
+// a sustained slowdown must still be avoided at once. The default policy must achieve
+// both: it is compared with policies that use less information.
+func TestDefaultPolicyIsNoSlowerThanBaselines(t *testing.T) {
 	const noise = 1.02
 	baselines := []string{fleet.PolicyRandom, fleet.PolicyRoundRobin, fleet.PolicyTwoChoices}
 	for name, condition := range conditions {
--- a/internal/pick/policy.go
+++ b/internal/pick/policy.go
@@ -7,8 +7,8 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// Draw is what a choice gets from outside: with the same Draw and the same
-// Stats every policy chooses the same target.
+// Draw holds the external inputs of a choice. With the same Draw and the same Stats
+// every policy chooses the same target.
 type Draw struct {
 	// Now is the time since the node's start.
 	Now time.Duration
@@ -22,8 +22,8 @@
 	Choose(d Draw, among []*Target) *Target
 }
 
-// newPolicy makes the policy of a name; one that isn't known, which the check
-// of the configuration rules out, becomes the default.
+// newPolicy returns the policy of a name, or the default policy for an unknown name,
+// which the validation of the configuration rules out.
 func newPolicy(name string) Policy {
 	switch name {
 	case fleet.PolicyRandom:
@@ -44,7 +44,8 @@
 	return newPolicy(fleet.DefaultPolicy)
 }
 
-// twoOf draws two different candidates; both are the same where there is one.
+// twoOf returns two different random candidates, or the same one twice if there is
+// only one.
 func twoOf(rnd *rand.Rand, among []*Target) (a, b *Target) {
 	if len(among) == 1 {
 		return among[0], among[0]
@@ -63,5 +64,5 @@
 
 func (globalSource) Uint64() uint64 { return rand.Uint64() }
 
-// SharedRand is the randomness of traffic goroutines. Safe for concurrent use.
+// SharedRand is the random source of traffic goroutines. Safe for concurrent use.
 var SharedRand = rand.New(globalSource{})
--- a/internal/pick/policy_test.go
+++ b/internal/pick/policy_test.go
@@ -11,15 +11,15 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// policies are all there are.
+// policies holds all policies.
 var policies = []string{
 	fleet.PolicyRandom, fleet.PolicyRoundRobin, fleet.PolicyTwoChoices,
 	fleet.PolicyTwoLoad, fleet.PolicyLeastLoad, fleet.PolicyIdleHints, fleet.PolicyProbe,
 }
 
-// share runs one region's entries over six servers, with a fault from two
-// seconds on, and gives the share of requests that the first server got
-// between two moments after the fault.
+// share simulates one region's entries over six servers, with a fault from two
+// seconds on, and returns the share of requests that the first server received
+// between two times after the fault.
 func share(policy string, fault func(*server), from, to time.Duration) float64 {
 	const faultAt = 2 * time.Second
 	at := places(1, 1, 6)
@@ -35,7 +35,7 @@
 		}
 	}
 	for _, e := range s.entries {
-		// 5 ms and 36 slots: 7200 requests a second is all they can do.
+		// With 5 ms and 36 slots the capacity is 7200 requests a second.
 		s.load(e, 7200*0.6/3, faultAt+to)
 	}
 	s.run(faultAt)
@@ -45,9 +45,9 @@
 }
 
 // A backend server loses its database and answers 500 within a millisecond.
-// It never has requests in flight, so a choice by these sends it nearly
-// everything, and most users see errors though five of six servers are well.
-func TestServerThatFailsFastAttractsNothing(t *testing.T) {
+// It never has requests in flight, so a choice by requests in flight sends it nearly
+// all requests, and most callers see errors although five of six servers are healthy.
+func TestServerThatFailsFastGetsFewRequests(t *testing.T) {
 	for _, p := range policies {
 		t.Run(p, func(t *testing.T) {
 			got := share(p, func(s *server) { s.failsAfter = time.Millisecond }, 100*time.Millisecond, 2*time.Second)
@@ -57,7 +57,7 @@
 	}
 }
 
-// The node beside a backend server is gone: connections are refused at once.
+// The node beside a backend server is down: connections are refused at once.
 func TestUnreachableServerIsTriedRarely(t *testing.T) {
 	for _, p := range policies {
 		t.Run(p, func(t *testing.T) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// A neighbour takes the processor: a server needs ten times as long from one
-// moment to the next, while its last report and its health endpoint say that all is well.
+// A neighbour uses the CPU: a server suddenly needs ten times as long, while its last
+// report and its health endpoint still show no trouble.
 func TestSlowServerIsUsedLessWithin100Milliseconds(t *testing.T) {
 	slow := func(s *server) { s.service = 50 * time.Millisecond }
 	limits := map[string]float64{fleet.PolicyLeastLoad: 0.04, fleet.PolicyTwoLoad: 0.04, fleet.PolicyTwoChoices: 0.08}
@@ -81,9 +81,9 @@
 	}
 }
 
-// A report says that a server is idle, and keeps saying so; the node's own
-// requests there don't come back.
-func TestOwnEvidenceOutvotesAReport(t *testing.T) {
+// A server keeps reporting that it is idle, but the node's own requests there get no
+// answer.
+func TestOwnRequestsInFlightOutweighIdleReport(t *testing.T) {
 	s := newService(fleet.DefaultPolicy, Place{"x", "r0z0", "r0"}, places(1, 1, 2), simSlots, NewEntries(places(1, 1, 2)))
 	liar, honest := s.Targets[0], s.Targets[1]
 	for _, target := range s.Targets {
@@ -97,7 +97,7 @@
 	require.Less(t, honest.Cost(now), liar.Cost(now))
 }
 
-// fullSize gives the Services of a node of 890 over 59 services, with requests
+// fullSize returns the Services of one of 890 nodes with 59 services, with requests
 // in flight and a report at every target.
 func fullSize(policy string) []*Service {
 	all := places(3, 4, 75)[:890]
--- a/internal/pick/probe.go
+++ b/internal/pick/probe.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// probeFresh is how long the answer to a probe may be used.
+	// probeFresh is how long the answer to a probe is used.
 	probeFresh = time.Second
-	// hotShare is the share of slots in use from which a target counts as hot.
+	// hotShare is the share of slots in use from which a target is hot.
 	hotShare = 0.8
 )
 
 // probe chooses by the answers to probes, with the rule "hot-cold
-// lexicographic": the fastest of the targets that aren't hot, else the one with
-// the fewest requests (Wydrowski et al., "Load is not what you should balance:
-// Introducing Prequal", NSDI 2024). That paper sends some probes for each
-// request; here the measuring budget decides how many there are, and where
-// fewer than two answers are fresh two random targets are compared instead.
+// lexicographic": the fastest of the targets that aren't hot, else the one with the
+// least load (Wydrowski et al., "Load is not what you should balance:
+// Introducing Prequal", NSDI 2024). That paper sends several probes for each
+// request; here the measuring budget limits the probes, and if fewer than two answers
+// are fresh, two random targets are compared instead.
 type probe struct{}
 
 func (probe) Choose(d Draw, among []*Target) *Target {
-	var cold, calm *Target
+	var cold, leastLoaded *Target
 	var fastest, fewest float64
 	fresh := 0
 	for _, t := range among {
@@ -28,8 +28,8 @@
 		}
 		fresh++
 		load := t.reportedLoad(r, d.Now)
-		if calm == nil || load < fewest {
-			calm, fewest = t, load
+		if leastLoaded == nil || load < fewest {
+			leastLoaded, fewest = t, load
 		}
 		if took := float64(t.RTT() + r.Service); load < hotShare && (cold == nil || took < fastest) {
 			cold, fastest = t, took
@@ -41,25 +41,25 @@
 	case cold != nil:
 		return cold
 	}
-	return calm
+	return leastLoaded
 }
 
-// reportedLoad is the share of slots in use by a report, with what the node
-// itself has sent since added: an answer that is used again must not draw
-// every request to one target.
+// reportedLoad returns the share of slots in use by a report, including the requests
+// that the node itself has sent since. Otherwise a reused answer would attract every
+// request to one target.
 func (t *Target) reportedLoad(r *Report, now time.Duration) float64 {
 	since := max(int(t.Stat.InFlight.Load())-r.own, 0)
 	return float64(r.Running+r.Waiting+since)/float64(max(r.Slots, 1)) + t.Stat.failures(now)
 }
 
-// AskedWithin says whether a target was chosen by probes not longer than d ago.
+// ChosenWithin reports whether a target was chosen by probes within the last d.
 func (s *Service) AskedWithin(now, d time.Duration) bool {
-	at := s.shared.asked.Load()
+	at := s.shared.lastChosen.Load()
 	return at != 0 && now-time.Duration(at) <= d
 }
 
-// Stalest gives the target to probe next: of two random ones that with the
-// older report. It is nil if there are no targets.
+// ProbeTarget returns the target to probe next: of two random ones the one with the
+// older report. It returns nil if that one has no address or there are no targets.
 func (s *Service) Stalest(d Draw) *Target {
 	if len(s.Targets) == 0 {
 		return nil
@@ -69,7 +69,7 @@
 	if ra != nil && (rb == nil || rb.At < ra.At) {
 		a = b
 	}
-	if !a.offered(nil) {
+	if !a.mayTry(nil) {
 		return nil
 	}
 	return a
--- a/internal/pick/random.go
+++ b/internal/pick/random.go
@@ -1,6 +1,6 @@
 package pick
 
-// random takes any target. A baseline.
+// random chooses a random target. It is a baseline for comparisons.
 type random struct{}
 
 func (random) Choose(d Draw, among []*Target) *Target {
--- a/internal/pick/region_test.go
+++ b/internal/pick/region_test.go
@@ -11,16 +11,17 @@
 	"github.com/limpetdock/limpetdock/internal/place"
 )
 
-// homeShares runs two regions of two servers each, with all callers in the
-// first and a share of what its servers can do, and gives the share of requests that stayed there, for each quarter of a
-// second. change is called with the simulation at the times it names.
+// homeShares simulates two regions of two servers each. All callers are in the first
+// region; load is relative to the capacity of its servers. It returns the share of
+// requests that stayed in the first region, for each quarter of a second. change holds
+// changes of its servers by time.
 func homeShares(policy string, service time.Duration, load float64, until time.Duration, change map[time.Duration]func(home []*server)) []float64 {
 	at := places(2, 2, 1)
 	s := newSim(policy, at, at[:2])
 	for _, one := range s.servers {
 		one.service = service
 	}
-	// What the two servers at home can do.
+	// Relative to the capacity of the two servers of the own region.
 	perSecond := load * 2 * simSlots / service.Seconds()
 	const bin = 250 * time.Millisecond
 	all, stayed := make([]float64, until/bin), make([]float64, until/bin)
@@ -47,9 +48,10 @@
 
 const short = 5 * time.Millisecond
 
-// At 70 % load home is busy as on any day. A region that is left for this costs
-// every caller a round trip, and the traffic between regions is billed.
-func TestRegionIsNotLeftWithoutNeed(t *testing.T) {
+// At 70 % load the own region has capacity for all requests. Sending requests to
+// another region costs every caller a round trip, and traffic between regions is
+// billed.
+func TestRequestsStayInRegionAt70PercentLoad(t *testing.T) {
 	for _, p := range policies {
 		for _, service := range []time.Duration{short, 40 * time.Millisecond} {
 			shares := homeShares(p, service, 0.7, 5*time.Second, nil)
@@ -64,22 +66,21 @@
 }
 
 // The own region has 1.3 times the load it can carry, the other one is idle.
-// Every entry sees this at the same time. If each moved everything at once, the
-// load would swing between the regions, and users would see waves of slow answers.
+// Every entry sees this at the same time. If each moved all requests at once, the load
+// would oscillate between the regions, and callers would see periods of slow answers.
 func TestSpillOverDoesNotOscillate(t *testing.T) {
 	shares := homeShares(fleet.DefaultPolicy, short, 1.3, 10*time.Second, nil)
 	settled := shares[len(shares)/2:]
-	t.Logf("share at home, by quarter second: %.2f", shares)
-	require.Greater(t, slices.Min(settled), 0.45, "home stays in use")
-	require.Less(t, slices.Max(settled), 0.95, "what home can't carry leaves")
+	t.Logf("share in the own region, by quarter second: %.2f", shares)
+	require.Greater(t, slices.Min(settled), 0.45, "the own region stays in use")
+	require.Less(t, slices.Max(settled), 0.95, "load beyond the capacity leaves the region")
 	require.Less(t, slices.Max(settled)-slices.Min(settled), 0.35)
 }
 
-// A region is cut off for three seconds: its targets can't be reached. Requests
-// go to the other region at once. When it is back, its servers are cold and its
-// links are empty; if every entry came back in the same moment, they would
-// fall over again.
-func TestLostRegionIsLeftAtOnceAndRampedWhenBack(t *testing.T) {
+// A region is unreachable for three seconds. Requests must go to the other region at
+// once. When it is available again, its caches and connection pools are cold. If every
+// entry returned at the same moment, its servers would be overloaded again.
+func TestUnreachableRegionIsLeftAtOnceAndRampedAfterRecovery(t *testing.T) {
 	for _, p := range policies {
 		down := func(to bool) func([]*server) {
 			return func(home []*server) {
@@ -93,12 +94,13 @@
 		})
 		lost, back, end := shares[9:20], shares[20:24], shares[len(shares)-4:]
 		require.Less(t, slices.Max(lost), 0.02, "%s: while it is lost: %v", p, shares)
-		require.Less(t, slices.Max(back), 0.9, "%s: no herd when it is back: %v", p, shares)
-		require.Greater(t, slices.Min(end), 0.95, "%s: home again in the end: %v", p, shares)
+		require.Less(t, slices.Max(back), 0.9, "%s: no simultaneous return when it is available again: %v", p, shares)
+		require.Greater(t, slices.Min(end), 0.95, "%s: all in the own region at the end: %v", p, shares)
 	}
 }
 
-// A request that must be answered in 10 ms can't be helped by a region 16 ms away.
+// A request with 10 ms until its deadline can't be answered by a region at a distance
+// of 16 ms.
 func TestRegionIsLeftOnlyIfTheDeadlineAllows(t *testing.T) {
 	s := newService(fleet.DefaultPolicy, Place{"x", "r0z0", "r0"}, places(2, 1, 1), simSlots, NewEntries(places(2, 1, 1)))
 	home := s.Targets[0]
@@ -111,8 +113,8 @@
 	require.NotSame(t, home, s.Choose(ask))
 }
 
-// A database that all servers use is down and every server answers 500. Were
-// all of them ejected, the few that are let back in would get everything.
+// A database that all servers use is down, and every server answers 500. If all of
+// them were ejected, the first ones that return would get all requests.
 func TestTooManyOutliersAreNotEjected(t *testing.T) {
 	for failing, all := range map[int]bool{2: false, 3: false, 4: true, 6: true} {
 		s := newService(fleet.PolicyRandom, Place{"x", "r0z0", "r0"}, places(1, 1, 6), simSlots, NewEntries(places(1, 1, 6)))
@@ -135,8 +137,8 @@
 	}
 }
 
-// A backend server was replaced; its caches are empty. The node beside it is
-// new too, which its incarnation tells.
+// A backend server was replaced, so its caches are empty. The node beside it is new
+// too, which its new incarnation shows.
 func TestNewIncarnationIsRamped(t *testing.T) {
 	s := newService(fleet.PolicyRandom, Place{"x", "r0z0", "r0"}, places(1, 1, 2), simSlots, NewEntries(places(1, 1, 2)))
 	fresh := s.Targets[0]
--- a/internal/pick/roundrobin.go
+++ b/internal/pick/roundrobin.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// roundRobin takes one target after the other. A baseline.
+// roundRobin chooses the targets in turn. It is a baseline for comparisons.
 type roundRobin struct{ turn atomic.Uint32 }
 
 func (p *roundRobin) Choose(_ Draw, among []*Target) *Target {
--- a/internal/pick/sim_test.go
+++ b/internal/pick/sim_test.go
@@ -11,22 +11,22 @@
 	"github.com/limpetdock/limpetdock/internal/place"
 )
 
-// server is a backend server of the simulation: slots, a queue, a service time.
+// server is a simulated backend server with slots, a queue and a service time.
 type server struct {
 	slots, running int
 	queue          []func()
 	service        time.Duration // on average
 	extra          time.Duration // added to each
-	failsAfter     time.Duration // answers 500 after that long; 0 is never
-	failsNext      int           // answers 500 to that many at once
+	failsAfter     time.Duration // answers 500 after this time; 0 is never
+	failsNext      int           // the number of next requests answered 500 at once
 	down           bool
 	served         int
-	// allowance is the bytes of reports that may be sent at the moment filled.
+	// allowance is the number of bytes of reports that could be sent at time filled.
 	allowance float64
 	filled    time.Duration
 }
 
-// reports says whether the measuring budget has room for one more report.
+// reports reports whether the measuring budget allows one more report, and spends it.
 func (v *server) reports(now time.Duration) bool {
 	const (
 		line      = 40
@@ -60,13 +60,14 @@
 	return last
 }
 
-// sim runs entries against servers on a clock of its own: same seed, same run.
+// sim simulates entries and servers on a simulated clock. Runs with the same seed are
+// identical.
 type sim struct {
 	now time.Duration
-	// rnd is for choices. Arrivals and service times are drawn from demand, so
-	// that policies which are compared meet the same requests.
+	// rnd is used for choices. Arrivals and service times are drawn from demand, so
+	// that compared policies get the same requests.
 	rnd, demand *rand.Rand
-	// reports says that the policy uses reports.
+	// reports is true if the policy uses reports.
 	reports  bool
 	agenda   agenda
 	servers  map[string]*server
@@ -86,7 +87,7 @@
 	s.now = until
 }
 
-// places are VMs of a fleet: regions x zones x targets for each zone.
+// places returns the VMs of a fleet: regions x zones x targets for each zone.
 func places(regions, zones, each int) []Place {
 	var list []Place
 	for r := range regions {
@@ -101,8 +102,8 @@
 	return list
 }
 
-// newService builds one entry's Service at here, with Stats of its own, in a
-// fleet that has entries.
+// newService returns the Service of one entry at here, with its own Stats, in a fleet
+// with the given entries.
 func newService(policy string, here Place, at []Place, slots int, entries *Entries) *Service {
 	targets := make([]*Target, 0, len(at))
 	for _, p := range at {
@@ -121,7 +122,7 @@
 
 const simSlots = 6
 
-// newSim has an entry at each of the places named by here, over servers at all.
+// newSim returns a simulation with a server at each of at and an entry at each of here.
 func newSim(policy string, at, here []Place) *sim {
 	s := &sim{servers: map[string]*server{}, observed: func(*Target) {}}
 	s.seed(1)
@@ -139,7 +140,7 @@
 	s.rnd, s.demand = rand.New(rand.NewPCG(seed, 2)), rand.New(rand.NewPCG(seed, 3))
 }
 
-// load makes requests at an entry at random moments, so many a second.
+// load sends requests at an entry at random times, at a mean rate of perSecond.
 func (s *sim) load(entry *Service, perSecond float64, until time.Duration) {
 	pause := time.Duration(s.demand.ExpFloat64() / perSecond * float64(time.Second))
 	if s.now+pause > until {
@@ -152,7 +153,7 @@
 }
 
 func (s *sim) request(entry *Service) {
-	// Half of the service time is the same for each request, as at the stand-in.
+	// Half of the service time is constant, as in the stand-in backend server.
 	draw := 0.5 + 0.5*s.demand.ExpFloat64()
 	t := entry.Choose(&Ask{Draw: Draw{s.now, s.rnd}})
 	if t == nil {
@@ -164,7 +165,8 @@
 	s.after(rtt/2, func() { s.arrive(t, m, rtt/2, draw) })
 }
 
-// report sends a server's load back; that of the own VM costs nothing.
+// report sends a server's load back. Reports on the same VM aren't charged to the
+// measuring budget.
 func (s *sim) report(t *Target, srv *server, back time.Duration) {
 	if !s.reports || t.Distance != place.SameVM && !srv.reports(s.now) {
 		return
--- a/internal/pick/spill.go
+++ b/internal/pick/spill.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// spillEvery is the pause between two steps of the share that leaves the region.
+	// spillEvery is the interval between two steps of the share of requests that leave
+	// the region.
 	spillEvery = 50 * time.Millisecond
-	// spillUnit is the whole of requests; a step is spillStep of it.
+	// spillUnit is the fixed-point value of all requests, spillStep the size of a step.
 	spillUnit = 1000
 	spillStep = 50
-	// spillMargin: home must cost more than this many times the other region
-	// before more requests leave. Between once and this many times, the share stays.
+	// spillMargin is the ratio of the own region's delay to the other region's above
+	// which the share grows. Between 1 and this ratio the share stays as it is.
 	spillMargin = 1.25
 )
 
-// spill decides which share of requests leaves the own region. Every entry
-// sees the same overload at about the same time; if each moved all of its
-// requests at once, the other region would be swamped, all would move
-// back, and so on. So the share moves by small steps, and not at all within a
-// margin: the feedback of a step arrives before many more are made.
+// spill controls the share of requests that leave the own region. Every entry sees
+// the same overload at about the same time. If each moved all of its requests at
+// once, the other region would be overloaded, all would move back, and so on. So the
+// share changes by small steps, and not at all within a margin: the effect of a step
+// is seen before many more are made.
 type spill struct {
 	share   atomic.Int32
 	stepped atomic.Int64
 }
 
-// leaves says whether a request leaves the region, where home and far are the
-// shortest delays, in nanoseconds, with the round trips in them.
+// leaves reports whether a request leaves the region, where home and far are the
+// shortest delays in nanoseconds, including the round trips.
 func (s *spill) leaves(a *Ask, home, far float64) bool {
 	s.step(a.Now, home, far)
 	share := s.share.Load()
@@ -40,7 +41,7 @@
 	return a.Rand.Int32N(spillUnit) < share
 }
 
-// due says whether a step is due.
+// due reports whether a step is due.
 func (s *spill) due(now time.Duration) bool {
 	return int64(now)-s.stepped.Load() >= int64(spillEvery)
 }
--- a/internal/pick/stat.go
+++ b/internal/pick/stat.go
@@ -6,46 +6,47 @@
 	"time"
 )
 
-// tracked is how many of a target's requests in flight have their start kept.
-// More of them are counted, but their age is not known.
-const tracked = 4
+// trackedStarts is the number of a target's requests in flight whose start is recorded.
+// Further requests are counted, but their age is unknown.
+const trackedStarts = 4
 
-// Stat is what a node itself has seen of a target. It outlives Views.
-// It is safe for concurrent use. Averages are updated without a lock: of two
-// samples at the same moment one may be lost, which changes nothing that matters.
+// Stat holds a node's own measurements of a target. It is kept from one View to the
+// next and is safe for concurrent use. Averages are updated without a lock: of two
+// concurrent samples one may be lost, which changes an average only slightly.
 type Stat struct {
-	// What every choice reads comes first, so that it shares a cache line.
+	// The fields that every choice reads come first, so that they share a cache line.
 
 	// InFlight counts the node's own requests at the target.
 	InFlight atomic.Int32
-	// failing is a moving average of failures, in 1/failScale.
+	// failing is a moving average of failures, in units of 1/failScale.
 	failing atomic.Int32
-	// avoidUntil is the time since start, in nanoseconds, until which the
-	// target is passed over because it refused.
+	// avoidUntil is the time since start, in nanoseconds, until which the target is
+	// avoided because it refused.
 	avoidUntil atomic.Int64
 	health     atomic.Pointer[health]
-	// load is what the last report says of other nodes' requests, see loadOf.
+	// load is the number of other nodes' requests in the last report and its time,
+	// packed by loadOf.
 	load atomic.Uint64
-	// latency is a moving average of the time to an answer without the round
-	// trip, and sampled is when its last sample came, both in nanoseconds.
+	// latency is a moving average of the time to an answer without the round trip,
+	// and sampled is the time of its last sample, both in nanoseconds.
 	latency, sampled atomic.Int64
-	// rtt is the measured round trip in nanoseconds; 0 is not measured.
+	// rtt is the measured round trip in nanoseconds, 0 if it was not measured.
 	rtt atomic.Int64
-	// hints are idle slots that were reported and not used yet.
+	// hints is the number of reported idle slots that were not used yet.
 	hints atomic.Int32
 	// counted is when an outcome was last counted in failing, in nanoseconds.
 	counted atomic.Int64
-	// starts holds when requests in flight began, in nanoseconds; 0 is free.
-	starts   [tracked]atomic.Int64
+	// starts holds the start times of requests in flight, in nanoseconds; 0 is free.
+	starts   [trackedStarts]atomic.Int64
 	identity atomic.Pointer[Identity]
 	report   atomic.Pointer[Report]
 }
 
-// Identity gives what was last learnt, or nil.
+// Identity returns the last reported identity, or nil.
 func (s *Stat) Identity() *Identity { return s.identity.Load() }
 
-// Learn keeps an identity that the guard itself told. Another incarnation than
-// the one before starts cold, so its share of requests rises slowly.
+// UpdateIdentity stores an identity that the guard itself reported. A new incarnation
+// starts cold, so its share of requests is ramped up.
 func (s *Stat) Learn(id Identity) {
 	for {
 		old := s.identity.Load()
@@ -62,37 +63,37 @@
 	}
 }
 
-// Avoid passes the target over until a time since start.
+// Avoid excludes the target from choices until a time since start.
 func (s *Stat) Avoid(until time.Duration) { s.avoidUntil.Store(int64(until)) }
 
-// Avoided says whether the target is passed over at now.
+// Avoided reports whether the target is avoided at now.
 func (s *Stat) Avoided(now time.Duration) bool { return int64(now) < s.avoidUntil.Load() }
 
-// Outcome is what became of one request at a target, as evidence about the target.
+// Outcome is the outcome of one request at a target, as evidence about the target.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Neutral says nothing about the target: the caller went away.
+	// Neutral is no evidence about the target: the caller canceled the request.
 	Neutral Outcome = iota
-	// Good is an answer of the backend server below 500.
+	// Good is an answer of the backend server with a status below 500.
 	Good
-	// Failed is an answer of 500 or more, or an exchange that broke off.
+	// Failed is an answer with status 500 or above, or an exchange that was cut off.
 	Failed
-	// Unreachable is a target that no connection could be opened to.
+	// Unreachable means that no connection to the target could be opened.
 	Unreachable
-	// Late is a deadline that passed before an answer came. A deadline may be
-	// too short for any server, so it is a failure only if the time was many
-	// times what is typical.
+	// Late is a deadline that expired before an answer arrived. A deadline may be too
+	// short for any server, so it counts as a failure only if the request took many
+	// times the typical time.
 	Late
-	// Refused is a guard that turned the request away.
+	// Refused means that the guard refused the request.
 	Refused
-	// Outrun is an exchange given up because a copy at another target answered
-	// first. Its time is a lower bound of what the target would have taken.
+	// Superseded is an exchange canceled because a copy at another target answered
+	// first. Its time is a lower bound of the time that the target would have taken.
 	Outrun
 )
 
-// Mark stands for one request in flight. It must be ended exactly once.
+// Attempt is one request in flight at a target. It must be ended exactly once.
 type Mark struct {
 	start time.Duration
 	place int8
@@ -100,14 +101,15 @@
 
 const untracked = -1
 
-// Took gives the time since the request began.
+// Elapsed returns the time since the request began.
 func (m Mark) Took(now time.Duration) time.Duration { return max(now-m.start, 0) }
 
-// lateFactor is how many times the typical time a late answer counts as a failure.
+// lateFactor is the multiple of the typical time above which a late request counts
+// as a failure.
 const lateFactor = 10
 
-// Begin counts a request in flight. A request that streams a body isn't timed:
-// how long it takes is the caller's doing and says nothing about the target.
+// Begin counts a request as in flight. A request that streams a body isn't timed:
+// its duration depends on the caller and is no evidence about the target.
 func (t *Target) Begin(now time.Duration, timed bool) Mark {
 	s := t.Stat
 	s.InFlight.Add(1)
@@ -124,7 +126,8 @@
 	return m
 }
 
-// Headers takes the evidence of an answer's first byte, or of what came instead.
+// RecordOutcome records the outcome of a request when the first byte of the answer
+// arrives or the attempt fails.
 func (t *Target) Headers(m Mark, now time.Duration, o Outcome, rnd *rand.Rand) {
 	s := t.Stat
 	took := m.Took(now) - t.RTT()
@@ -137,23 +140,25 @@
 		case o == Good, o == Failed, o == Late:
 			t.sample(now, took)
 		case o == Outrun && took > t.serverTime(now):
-			// Shorter than usual it says nothing: the target wasn't let finish.
+			// A shorter time is no evidence: the request was canceled before the
+			// target could answer.
 			t.sample(now, took)
 		}
 	}
-	s.judge(now, o, rnd)
+	s.recordOutcome(now, o, rnd)
 }
 
-// End counts the request out once its answer has been read.
+// End removes the request from those in flight once its answer has been read.
 func (t *Target) End() { t.Stat.InFlight.Add(-1) }
 
 const (
-	// ownWeight and sharedWeight are inverse weights of a new sample.
+	// ownWeight and sharedWeight are the inverse weights of a new sample in the
+	// averages of one target and of the service.
 	ownWeight    = 4
 	sharedWeight = 64
 )
 
-// sample adds the time a request took, without the round trip.
+// sample records the time of a request without the round trip.
 func (t *Target) sample(now, took time.Duration) {
 	took = max(took, 0)
 	s := t.Stat
@@ -170,7 +175,7 @@
 	a.Store(old + (sample-old)/weight)
 }
 
-// RTT gives the round trip to the target, measured or assumed by its distance.
+// RTT returns the measured round trip to the target, or the default for its distance.
 func (t *Target) RTT() time.Duration {
 	if rtt := t.Stat.rtt.Load(); rtt > 0 {
 		return time.Duration(rtt)
@@ -178,7 +183,7 @@
 	return defaultRTT[t.Distance]
 }
 
-// MeasuredRTT takes the time that an exchange spent on the way.
+// RecordRTT records the round trip of an exchange.
 func (t *Target) MeasuredRTT(took time.Duration) {
 	if took <= 0 {
 		return
@@ -190,7 +195,8 @@
 	average(&t.Stat.rtt, old, int64(took), ownWeight)
 }
 
-// oldest is the age of the oldest timed request in flight, zero if there is none.
+// oldest returns the age of the oldest timed request in flight, or zero if there is
+// none.
 func (s *Stat) oldest(now time.Duration) time.Duration {
 	if s.InFlight.Load() == 0 {
 		return 0
--- a/internal/pick/subset.go
+++ b/internal/pick/subset.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	// minNear is the fewest targets of the own region an entry uses: one in its
-	// own zone if there is one, and one in another zone, so that a lost zone
-	// leaves it with a target at home.
+	// minNear is the least number of targets of the own region that an entry uses:
+	// one in its own zone if there is one, and one in another zone, so that it still
+	// has a target in the region after the loss of a zone.
 	minNear = 2
-	// maxNear bounds the targets that one choice looks at.
+	// maxNear bounds the targets of the own region that one choice compares.
 	maxNear = 24
-	// minFar and maxFar are the same for all other regions together.
+	// minFar and maxFar are the same bounds for all other regions together.
 	minFar = 1
 	maxFar = 8
-	// nearShare and farShare are the parts of the declared connections, in percent,
-	// that the number of targets drawn by entries of the own region and of the
-	// others may fill on average. What is left is room for uneven draws and for
-	// entries that are about to change their subsets.
+	// nearShare and farShare are the shares of the declared connections, in percent,
+	// that entries of the own region and of other regions use on average. The rest is
+	// headroom for an uneven assignment and for entries whose subsets are changing.
 	nearShare = 60
 	farShare  = 30
-	// nearRoom and allRoom are the parts, in percent, up to which a target is drawn
-	// by entries of its own region and by all as long as another one has room.
+	// nearRoom and allRoom are the shares of a target's connections, in percent, up to
+	// which it is assigned to entries of its own region, and to all entries, as long
+	// as another target has capacity.
 	nearRoom = 70
 	allRoom  = 95
 	percent  = 100
 )
 
-// Entries are the entries of a fleet as a configuration declares them, in the
-// order in which they draw. It is immutable.
+// Entries holds the entries of a fleet as declared by a configuration, in the order
+// in which targets are assigned to them. It is immutable.
 type Entries struct {
 	all []entry
-	// zones and regions number the names, which are compared often.
+	// zones and regions map names to numbers, which are faster to compare.
 	zones, regions map[string]int
-	// size counts the entries of each region.
+	// size is the number of entries of each region.
 	size []int
 }
 
@@ -46,7 +46,7 @@
 	zone, region int
 }
 
-// NewEntries returns the entries that stand on VMs, in any order.
+// NewEntries returns the entries on the given VMs, which may be in any order.
 func NewEntries(on []Place) *Entries {
 	e := &Entries{all: make([]entry, 0, len(on)), zones: map[string]int{}, regions: map[string]int{}}
 	for _, p := range on {
@@ -58,8 +58,8 @@
 		e.all = append(e.all, one)
 		e.size[one.region]++
 	}
-	// Those who draw late find some targets full. The order is by hash, so that
-	// they are spread over all zones.
+	// Entries late in the order find some targets full. Ordering by hash spreads them
+	// over all zones.
 	slices.SortFunc(e.all, func(a, b entry) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.VM, b.VM))
 	})
@@ -73,11 +73,11 @@
 	return numbers[name]
 }
 
-// elsewhere numbers zones and regions in which no entry is declared.
-const elsewhere = -1
+// undeclared is used as the number of a zone or region without a declared entry.
+const undeclared = -1
 
 func (e *Entries) entry(p Place) entry {
-	one := entry{Place: p, hash: xxhash.Sum64String(p.VM), zone: elsewhere, region: elsewhere}
+	one := entry{Place: p, hash: xxhash.Sum64String(p.VM), zone: undeclared, region: undeclared}
 	if n, known := e.zones[p.Zone]; known {
 		one.zone = n
 	}
@@ -87,62 +87,62 @@
 	return one
 }
 
-// Equal says whether both are the same VMs at the same places.
+// Equal reports whether both hold the same VMs in the same zones and regions.
 func (e *Entries) Equal(other *Entries) bool {
 	return slices.EqualFunc(e.all, other.all, func(a, b entry) bool { return a.Place == b.Place })
 }
 
-// Subset gives which of the targets, by their indexes, the node at here sends
-// to: those of its own region nearest first, then inRegion says how many they are,
-// then others.
+// Subset returns the indexes of the targets that the node at here sends to: those of
+// its own region, nearest first, then others. inRegion is the number of targets of the
+// own region.
 //
-// Every node works out the draws of all entries from the configuration alone, so
-// all agree on who uses which target without a message. An entry takes the
-// targets with the highest hashes (rendezvous hashing) that have room: a target
-// accepts about 200 connections, and independent draws would leave some of 890
-// far above the mean. This is consistent hashing with bounded loads (Mirrokni,
-// Thorup and Zadimoghaddam, 2018); a target that comes or goes changes few subsets.
+// Every node computes the assignment for all entries from the configuration alone, so
+// all nodes agree on it without communication. An entry is assigned the targets with
+// the highest hashes (rendezvous hashing) that have capacity. A target accepts about
+// 200 connections, and independent choices would put some of 890 targets far above the
+// mean. This is consistent hashing with bounded loads (Mirrokni, Thorup and
+// Zadimoghaddam, 2018): adding or removing a target changes few subsets.
 func (e *Entries) Subset(here Place, targets []*Target) (subset []int, inRegion int) {
-	all, mine := e.with(here)
-	got := newDraw(e, targets).run(all)[mine]
-	slices.SortStableFunc(got.near, func(a, b int) int {
+	all, own := e.with(here)
+	result := newAssignment(e, targets).run(all)[own]
+	slices.SortStableFunc(result.near, func(a, b int) int {
 		return cmp.Compare(here.DistanceTo(targets[a].Place), here.DistanceTo(targets[b].Place))
 	})
-	return append(got.near, got.away...), len(got.near)
+	return append(result.near, result.far...), len(result.near)
 }
 
-// with gives all entries and which of them is the one at here. One that isn't
-// declared draws last.
-func (e *Entries) with(here Place) (all []entry, mine int) {
-	mine = slices.IndexFunc(e.all, func(one entry) bool { return one.VM == here.VM })
-	if mine >= 0 {
-		return e.all, mine
+// with returns all entries and the index of the one at here. An undeclared entry is
+// added as the last one.
+func (e *Entries) with(here Place) (all []entry, own int) {
+	own = slices.IndexFunc(e.all, func(one entry) bool { return one.VM == here.VM })
+	if own >= 0 {
+		return e.all, own
 	}
 	return append(slices.Clone(e.all), e.entry(here)), len(e.all)
 }
 
-// draw is one service's draw by all entries.
-type draw struct {
+// assignment assigns one service's targets to all entries.
+type assignment struct {
 	entries *Entries
-	rows    []drawn
-	// connections are those declared.
+	rows    []candidate
+	// connections is the number of declared connections of all targets.
 	connections int
 	weights     []uint64
 }
 
-// drawn is a target with the number of entries that use it.
-type drawn struct {
+// candidate is a target with the number of entries that use it.
+type candidate struct {
 	entry
 	connections int
 	users       int
-	// nearRoom and allRoom are the users up to which there is room.
+	// nearRoom and allRoom are the numbers of users up to which there is capacity.
 	nearRoom, allRoom int
 }
 
-func newDraw(e *Entries, targets []*Target) *draw {
-	d := &draw{entries: e, weights: make([]uint64, len(targets))}
+func newAssignment(e *Entries, targets []*Target) *assignment {
+	d := &assignment{entries: e, weights: make([]uint64, len(targets))}
 	for _, t := range targets {
-		d.rows = append(d.rows, drawn{
+		d.rows = append(d.rows, candidate{
 			entry: e.entry(t.Place), connections: t.Connections,
 			nearRoom: t.Connections * nearRoom / percent, allRoom: t.Connections * allRoom / percent,
 		})
@@ -151,60 +151,62 @@
 	return d
 }
 
-// drawnBy is what one entry got: indexes of targets of its own region and of others.
-type drawnBy struct{ near, away []int }
+// assigned holds the indexes of one entry's targets, of its own region and of others.
+type assigned struct{ near, far []int }
 
-// side is what entries of one region draw from, and how many of each.
-type side struct {
-	drawnBy
-	nearCount, awayCount int
+// pool holds the targets available to entries of one region, and how many of them
+// each entry is assigned.
+type pool struct {
+	assigned
+	nearCount, farCount int
 }
 
-// run lets each of the entries draw in its own region, and then each elsewhere.
-func (d *draw) run(all []entry) []drawnBy {
-	out := make([]drawnBy, len(all))
-	sides := map[int]*side{elsewhere: d.side(elsewhere)}
+// run assigns targets of the own region to each of the entries, then targets of
+// other regions.
+func (d *assignment) run(all []entry) []assigned {
+	out := make([]assigned, len(all))
+	pools := map[int]*pool{undeclared: d.pool(undeclared)}
 	for region := range d.entries.size {
-		sides[region] = d.side(region)
+		pools[region] = d.pool(region)
 	}
 	for i := range all {
-		s := sides[all[i].region]
-		out[i].near = d.take(&all[i], s.near, s.nearCount, false)
+		s := pools[all[i].region]
+		out[i].near = d.assign(&all[i], s.near, s.nearCount, false)
 	}
 	for i := range all {
-		s := sides[all[i].region]
-		out[i].away = d.take(&all[i], s.away, s.awayCount, true)
+		s := pools[all[i].region]
+		out[i].far = d.assign(&all[i], s.far, s.farCount, true)
 	}
 	return out
 }
 
-// side gives what entries of a region draw from.
-func (d *draw) side(region int) *side {
-	s, connections, entries := &side{}, 0, 0
+// pool returns the targets available to entries of a region.
+func (d *assignment) pool(region int) *pool {
+	s, connections, entries := &pool{}, 0, 0
 	for i, t := range d.rows {
 		if t.region == region {
 			s.near = append(s.near, i)
 			connections += t.connections
 		} else {
-			s.away = append(s.away, i)
+			s.far = append(s.far, i)
 		}
 	}
-	if region != elsewhere {
+	if region != undeclared {
 		entries = d.entries.size[region]
 	}
 	s.nearCount = clamp(connections*nearShare/percent, entries, minNear, maxNear)
-	s.awayCount = clamp(d.connections*farShare/percent, len(d.entries.all), minFar, maxFar)
-	s.awayCount = max(s.awayCount, minNear-len(s.near))
+	s.farCount = clamp(d.connections*farShare/percent, len(d.entries.all), minFar, maxFar)
+	s.farCount = max(s.farCount, minNear-len(s.near))
 	return s
 }
 
-// clamp gives how many targets each of the entries may keep a connection to.
+// clamp returns how many targets each of the entries may keep a connection to.
 func clamp(connections, entries, low, high int) int {
 	return min(max(connections/max(entries, 1), low), high)
 }
 
-// take draws n of the targets for an entry.
-func (d *draw) take(e *entry, among []int, n int, away bool) []int {
+// assign assigns n of the targets to an entry.
+func (d *assignment) assign(e *entry, among []int, n int, far bool) []int {
 	if len(among) <= n {
 		for _, i := range among {
 			d.rows[i].users++
@@ -214,25 +216,26 @@
 	for _, i := range among {
 		d.weights[i] = weight(e.hash, d.rows[i].hash)
 	}
-	taken := make([]int, 0, n)
-	for len(taken) < n {
-		next := d.best(e, among, taken, away)
+	chosen := make([]int, 0, n)
+	for len(chosen) < n {
+		next := d.best(e, among, chosen, far)
 		d.rows[next].users++
-		taken = append(taken, next)
+		chosen = append(chosen, next)
 	}
-	return taken
+	return chosen
 }
 
-// best gives the target that an entry takes next: one with room, if there is
-// any; the first in its own zone and the second in another, if there are any; of
-// these the one with the highest hash. When all are full, the one with the fewest users.
-func (d *draw) best(e *entry, among, taken []int, away bool) int {
+// best returns the next target of an entry: one with capacity if there is one; the
+// first in the entry's own zone and the second in another zone if possible; of these
+// the one with the highest hash. If all are full, it returns the one with the fewest
+// users for its connections.
+func (d *assignment) best(e *entry, among, chosen []int, far bool) int {
 	best, rank := -1, -1
 	for _, i := range among {
-		if slices.Contains(taken, i) {
+		if slices.Contains(chosen, i) {
 			continue
 		}
-		r := d.rank(e, &d.rows[i], taken, away)
+		r := d.rank(e, &d.rows[i], chosen, far)
 		if r > rank || r == rank && d.prefers(i, best, r) {
 			best, rank = i, r
 		}
@@ -240,37 +243,40 @@
 	return best
 }
 
-// The ranks of a target in a draw, whatever its hash. Full ones have users for
-// allRoom, crowded ones for nearRoom while entries draw near ones. apart is a
-// crowded one in another zone than the first; wanted has room and stands where it should.
+// The ranks of a target for an entry, regardless of its hash. A full target has
+// reached allRoom; a nearlyFull one has reached nearRoom, which counts only for
+// entries of its own region. otherZone is a nearlyFull one in another zone than the
+// first target; a hasRoom one has capacity but is in neither zone that is preferred. A
+// preferred one has capacity, and is in the entry's zone if it is the first target, else
+// in another zone than the first.
 const (
 	full = iota
-	crowded
-	roomy
-	apart
-	wanted
+	nearlyFull
+	hasRoom
+	otherZone
+	preferred
 )
 
-func (d *draw) rank(e *entry, t *drawn, taken []int, away bool) int {
-	fits := away || t.users < t.nearRoom
-	other := len(taken) == 1 && t.zone != d.rows[taken[0]].zone
+func (d *assignment) rank(e *entry, t *candidate, chosen []int, far bool) int {
+	fits := far || t.users < t.nearRoom
+	other := len(chosen) == 1 && t.zone != d.rows[chosen[0]].zone
 	switch {
 	case t.users >= t.allRoom:
 		return full
-	case fits && (other || len(taken) == 0 && t.zone == e.zone):
-		return wanted
+	case fits && (other || len(chosen) == 0 && t.zone == e.zone):
+		return preferred
 	case other:
-		return apart
+		return otherZone
 	case fits:
-		return roomy
+		return hasRoom
 	}
-	return crowded
+	return nearlyFull
 }
 
-// prefers compares two targets of one rank.
-func (d *draw) prefers(i, other, rank int) bool {
+// prefers reports whether target i is better than other, where both have the same rank.
+func (d *assignment) prefers(i, other, rank int) bool {
 	a, b := &d.rows[i], &d.rows[other]
-	if rank <= crowded && a.users*b.connections != b.users*a.connections {
+	if rank <= nearlyFull && a.users*b.connections != b.users*a.connections {
 		return a.users*b.connections < b.users*a.connections
 	}
 	return d.weights[i] > d.weights[other]
--- a/internal/pick/subset_test.go
+++ b/internal/pick/subset_test.go
@@ -10,8 +10,8 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// elevenZones are as many VMs as the target size has zones for, in turn, with
-// regions of four, four and three zones.
+// elevenZones returns VMs spread evenly over eleven zones, in regions of four, four
+// and three zones.
 func elevenZones(nodes int) (list []Place) {
 	for i := range nodes {
 		zone := i % 11
@@ -20,27 +20,27 @@
 	return list
 }
 
-// draws gives each entry's targets of one service, after a check of each entry.
-func draws(t *testing.T, entries *Entries, targets []Place) map[string][]string {
+// assignments returns each entry's targets of one service, after checks of each entry.
+func assignments(t *testing.T, entries *Entries, targets []Place) map[string][]string {
 	s := newService(fleet.PolicyTwoLoad, targets[0], targets, 9, entries)
-	used := drawnNames(entries, targets)
-	for i, got := range newDraw(entries, s.Homes).run(entries.all) {
+	used := assignedNames(entries, targets)
+	for i, got := range newAssignment(entries, s.Homes).run(entries.all) {
 		here := entries.all[i]
 		require.Len(t, got.near, minNear, here.VM)
-		require.Len(t, got.away, minFar, here.VM)
-		require.NotEqual(t, targets[got.near[0]].Zone, targets[got.near[1]].Zone, "a lost zone must leave one at home")
+		require.Len(t, got.far, minFar, here.VM)
+		require.NotEqual(t, targets[got.near[0]].Zone, targets[got.near[1]].Zone, "one target must remain in the region after the loss of a zone")
 	}
 	for _, target := range s.Targets {
-		require.Contains(t, used[targets[0].VM], target.VM, "what an entry uses is what it draws")
+		require.Contains(t, used[targets[0].VM], target.VM, "an entry uses its assigned targets")
 	}
 	return used
 }
 
-// users counts the entries at places that use each target.
-func users(draws map[string][]string, at []Place) map[string]int {
+// users returns the number of entries at places that use each target.
+func users(assigned map[string][]string, at []Place) map[string]int {
 	all := map[string]int{}
 	for _, here := range at {
-		for _, vm := range draws[here.VM] {
+		for _, vm := range assigned[here.VM] {
 			all[vm]++
 		}
 	}
@@ -51,11 +51,11 @@
 	return slices.DeleteFunc(slices.Clone(at), func(p Place) bool { return p.Zone == zone })
 }
 
-// Targets accept about 200 connections. At full size, on a day when a region
-// is overloaded, every entry there spills over, and at the worst target some
-// callers would find no room. So all entries that may use a target count, those
-// that would only spill over as well, and the worst target counts, not the mean.
-// When a zone is lost, its entries are gone, and each one left has a target at home.
+// Targets accept about 200 connections. At full size, if a region is overloaded, every
+// entry there spills over, and the target with most entries might run out of
+// connections. So all entries that may use a target count, including those that would
+// only spill over, and the worst target counts, not the mean. When a zone is lost, its
+// entries are lost too, and each remaining entry has a target in its region.
 func TestSubsetsBoundConnectionsAtFullSize(t *testing.T) {
 	const accepted = 200
 	fleets := map[string]struct {
@@ -80,12 +80,12 @@
 						mine = append(mine, p)
 					}
 				}
-				drawn := draws(t, entries, mine)
-				whole, lost := users(drawn, f.nodes), users(drawn, without(f.nodes[0].Zone, f.nodes))
+				assigned := assignments(t, entries, mine)
+				whole, lost := users(assigned, f.nodes), users(assigned, without(f.nodes[0].Zone, f.nodes))
 				for vm, n := range whole {
 					worst = max(worst, n)
-					require.Less(t, n, accepted, "%s: entries of all regions, were all of them to spill over", vm)
-					require.LessOrEqual(t, lost[vm], n, "%s: a zone lost brings it no others", vm)
+					require.Less(t, n, accepted, "%s: entries of all regions, if all of them spill over", vm)
+					require.LessOrEqual(t, lost[vm], n, "%s: the loss of a zone adds no entries", vm)
 				}
 			}
 			t.Logf("entries at the worst target: %d", worst)
@@ -93,8 +93,8 @@
 	}
 }
 
-// Today's fleets are small enough for every entry to use every target.
-func TestSubsetsOfSmallFleetsAreWhole(t *testing.T) {
+// In small fleets every entry uses every target.
+func TestEntriesOfSmallFleetsUseAllTargets(t *testing.T) {
 	at := places(3, 2, 3)
 	for _, here := range at {
 		for i := range 3 {
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestSubsetIsStable(t *testing.T) {
+func TestSubsetChangesLittleWhenATargetIsRemoved(t *testing.T) {
 	at := places(1, 2, 40)
 	here := Place{"x", "r0z1", "r0"}
 	entries := NewEntries(places(1, 2, 750))
@@ -119,17 +119,17 @@
 	require.LessOrEqual(t, added(before, names(here, left)), 1, "one target less changes at most one")
 	require.Equal(t, "r0z1", newService(fleet.PolicyRandom, here, at, 9, entries).Targets[0].Zone)
 
-	first, second := drawnNames(entries, at), drawnNames(entries, left)
+	first, second := assignedNames(entries, at), assignedNames(entries, left)
 	lost, changed := 0, 0
 	for vm, used := range first {
 		lost += len(used) - len(second[vm]) + added(used, second[vm])
 		changed += added(used, second[vm])
 	}
-	t.Logf("one of 80 targets goes: %d of %d entries used it; %d targets changed at all entries", lost, len(first), changed)
-	require.LessOrEqual(t, changed, 3*len(first)*6/80, "three times what can't be avoided")
+	t.Logf("one of 80 targets removed: %d of %d entries used it; %d targets changed at all entries", lost, len(first), changed)
+	require.LessOrEqual(t, changed, 3*len(first)*6/80, "three times the unavoidable changes")
 }
 
-// added counts the names that weren't there before.
+// added returns the number of names in after that are not in before.
 func added(before, after []string) (n int) {
 	for _, vm := range after {
 		if !slices.Contains(before, vm) {
@@ -139,20 +139,20 @@
 	return n
 }
 
-func drawnNames(entries *Entries, at []Place) map[string][]string {
+func assignedNames(entries *Entries, at []Place) map[string][]string {
 	s := newService(fleet.PolicyRandom, at[0], at, 9, entries)
 	list := map[string][]string{}
-	for i, got := range newDraw(entries, s.Homes).run(entries.all) {
+	for i, got := range newAssignment(entries, s.Homes).run(entries.all) {
 		vm := entries.all[i].VM
 		list[vm] = []string{}
-		for _, j := range slices.Concat(got.near, got.away) {
+		for _, j := range slices.Concat(got.near, got.far) {
 			list[vm] = append(list[vm], at[j].VM)
 		}
 	}
 	return list
 }
 
-// BenchmarkSubset draws one service's targets for all 890 entries.
+// BenchmarkSubset assigns one service's targets to all 890 entries.
 func BenchmarkSubset(b *testing.B) {
 	nodes := elevenZones(890)
 	entries := NewEntries(nodes)
--- a/internal/pick/twochoices.go
+++ b/internal/pick/twochoices.go
@@ -1,6 +1,6 @@
 package pick
 
-// twoChoices takes the less loaded of two random targets, by the node's own
+// twoChoices chooses the less loaded of two random targets, by the node's own
 // requests in flight (Mitzenmacher, "The Power of Two Choices in Randomized
 // Load Balancing", IEEE TPDS 2001).
 type twoChoices struct{}
--- a/internal/pick/twoload.go
+++ b/internal/pick/twoload.go
@@ -1,8 +1,8 @@
 package pick
 
-// twoLoad takes the cheaper of two random targets by Cost: own requests in
-// flight, the load that guards put on replies, and the time answers take.
-// Reports age on the way, so they are discounted rather than believed
+// twoLoad chooses the target with the lower Cost of two random ones: own requests in
+// flight, the load that guards report on replies, and the time to an answer. Reports
+// are stale when they arrive, so they are discounted by age
 // (Mitzenmacher, "How Useful Is Old Information?", IEEE TPDS 2000).
 type twoLoad struct{}
 
