--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -16,7 +16,7 @@
 	return attempt.Claim{ID: id, Incarnation: 1, Tick: attempt.Tick(at)}
 }
 
-func TestWhatBecomesOfAClaim(t *testing.T) {
+func TestClaimVerdicts(t *testing.T) {
 	const now = time.Hour
 	ticket := attempt.TicketID("1")
 	cases := []struct {
@@ -27,14 +27,14 @@
 		{"fresh", claim("x", now), attempt.Start},
 		{"as old as the window", claim("x", now-attempt.Window), attempt.Start},
 		{"older than the window", claim("x", now-attempt.Window-time.Second), attempt.Stale},
-		{"a tick of the future is another's", claim("x", now+time.Second), attempt.Stale},
+		{"a tick in the future belongs to another incarnation", claim("x", now+time.Second), attempt.Stale},
 		{"another incarnation", attempt.Claim{ID: "x", Incarnation: 2, Tick: attempt.Tick(now)}, attempt.Stale},
-		{"no identity learnt yet", attempt.Claim{ID: "x"}, attempt.Stale},
+		{"no identity known yet", attempt.Claim{ID: "x"}, attempt.Stale},
 		{"a ticket in its window", claim(ticket, now-attempt.TicketWindow), attempt.Start},
-		{"a ticket past it, which would have left a record", claim(ticket, now-attempt.TicketWindow-time.Second), attempt.Expired},
-		{"a ticket whose record would be gone", claim(ticket, now-attempt.TicketWindow-2*attempt.Window-time.Second), attempt.Forgotten},
+		{"a ticket past its window whose record would still be kept", claim(ticket, now-attempt.TicketWindow-time.Second), attempt.Expired},
+		{"a ticket whose record would have been dropped", claim(ticket, now-attempt.TicketWindow-2*attempt.Window-time.Second), attempt.RecordDropped},
 		{"a copy", claim("known", now), attempt.Known},
-		{"a copy that comes late", claim("known", 0), attempt.Known},
+		{"a late copy", claim("known", 0), attempt.Known},
 		{"another request under the id", attempt.Claim{ID: "known", Incarnation: 1, Fingerprint: 7}, attempt.Conflict},
 	}
 	for _, c := range cases {
@@ -48,11 +48,11 @@
 	}
 }
 
-// A booking ran, and its entry was frozen before the answer came. It wakes
-// minutes later, its connection is dead, and it asks what became of the booking.
-// The record has been forgotten by then. If the guard sealed what it doesn't
-// know, the entry would book a second time elsewhere.
-func TestALateQuestionIsNoProof(t *testing.T) {
+// A booking ran, and its entry was frozen before the answer arrived. It resumes
+// minutes later with a dead connection and asks for the outcome. The record has been
+// dropped by then. If the guard sealed an attempt that it doesn't know, the entry
+// would book a second time elsewhere.
+func TestLateSealOfDroppedRecordProvesNothing(t *testing.T) {
 	for _, id := range []string{"try", attempt.TicketID("1")} {
 		table := attempt.NewTable(1)
 		v, _ := table.Begin(claim(id, 0), 0)
@@ -63,34 +63,34 @@
 	}
 }
 
-func TestASealHolds(t *testing.T) {
+func TestSealedAttemptNeverRuns(t *testing.T) {
 	table := attempt.NewTable(1)
-	table.Arrive("x")
-	require.Equal(t, wire.AttemptWaiting, table.Seal(claim("x", 0), true, 0), "a question leaves it in the queue")
+	table.AddPresent("x")
+	require.Equal(t, wire.AttemptWaiting, table.Seal(claim("x", 0), true, 0), "a query leaves it in the queue")
 	require.Equal(t, wire.AttemptSealed, table.Seal(claim("x", 0), false, 0))
-	table.Depart("x")
+	table.RemovePresent("x")
 	v, _ := table.Begin(claim("x", 0), 0)
 	require.Equal(t, attempt.Known, v, "it doesn't run when its turn comes")
 	require.Equal(t, wire.AttemptAbsent, table.Seal(claim("y", 0), true, 0))
 	require.Equal(t, wire.AttemptElsewhere, table.Seal(attempt.Claim{ID: "x", Incarnation: 2}, false, 0))
 }
 
-func TestAnExchangeIsAskedForAndNeverSealed(t *testing.T) {
+func TestExchangeIsNeverSealed(t *testing.T) {
 	table := attempt.NewTable(1)
 	id := attempt.ExchangeID("1")
-	table.Arrive(id)
+	table.AddPresent(id)
 	require.Equal(t, wire.AttemptWaiting, table.Seal(attempt.Claim{ID: id}, false, 0))
-	table.Depart(id)
+	table.RemovePresent(id)
 	require.Equal(t, wire.AttemptAbsent, table.Seal(attempt.Claim{ID: id}, false, 0))
 }
 
-func TestAnswersAreKeptWithinBounds(t *testing.T) {
+func TestStoredAnswersAreBounded(t *testing.T) {
 	table := attempt.NewTable(1)
 	body := make([]byte, attempt.MaxAnswer)
 	finish := func(id string, a *attempt.Answer) wire.AttemptState {
 		_, _ = table.Begin(claim(id, 0), 0)
 		table.Finish(id, a, 0)
-		state, _, ended := table.Look(id)
+		state, _, ended := table.Lookup(id)
 		<-ended
 		return state
 	}
@@ -106,21 +106,21 @@
 	require.Positive(t, lost)
 	_, stored := table.Len()
 	require.LessOrEqual(t, stored, 32<<20)
-	// 1003 records go with no more than a few calls, and few in each of these.
+	// The 1003 records are dropped within a few calls, and few in each call.
 	before, _ := table.Len()
 	for range before/16 + 1 {
 		_, _ = table.Check(claim("later", time.Hour), time.Hour)
-		left, _ := table.Len()
-		require.LessOrEqual(t, before-left, 16, "a call holds the guard's mutex for a few records only")
-		before = left
+		remaining, _ := table.Len()
+		require.LessOrEqual(t, before-remaining, 16, "a call holds the guard's mutex for a few records only")
+		before = remaining
 	}
 	_, _ = table.Begin(claim("later", time.Hour), time.Hour)
 	records, stored := table.Len()
-	require.Equal(t, 1, records, "records go after their time")
+	require.Equal(t, 1, records, "expired records are dropped")
 	require.Zero(t, stored)
 }
 
-func TestAFullTableRefuses(t *testing.T) {
+func TestFullTableRefusesAttempts(t *testing.T) {
 	table := attempt.NewTable(1)
 	started := 0
 	var v attempt.Verdict
@@ -130,12 +130,12 @@
 		}
 	}
 	require.Equal(t, attempt.Full, v)
-	require.Equal(t, wire.AttemptAbsent, table.Seal(claim("other", 0), false, 0), "no room for a seal, so no proof")
+	require.Equal(t, wire.AttemptAbsent, table.Seal(claim("other", 0), false, 0), "no room for a sealed record, so no proof")
 	known, _ := table.Begin(claim("0", 0), 0)
 	require.Equal(t, attempt.Known, known)
 }
 
-func TestOnlyTheIncarnationsOwnSealIsProof(t *testing.T) {
+func TestOnlySealBySameIncarnationIsProof(t *testing.T) {
 	for state, want := range map[wire.AttemptState]attempt.Step{
 		wire.AttemptSealed: attempt.Elsewhere, wire.AttemptRunning: attempt.Collect, wire.AttemptDone: attempt.Collect,
 		wire.AttemptLost: attempt.Collect, wire.AttemptWaiting: attempt.Wait, wire.AttemptAbsent: attempt.Unknown,
@@ -146,9 +146,9 @@
 	}
 }
 
-// A copy is held up on its way for as long as its tick is good. The first one
-// has run and ended long before. Its record must still be there.
-func TestARecordOutlivesItsWindow(t *testing.T) {
+// A copy is delayed for as long as its tick is valid, while the first copy ran and
+// ended long before. The record of the first must still exist.
+func TestRecordIsKeptLongerThanWindow(t *testing.T) {
 	for id, window := range map[string]time.Duration{"try": attempt.Window, attempt.TicketID("1"): attempt.TicketWindow} {
 		table := attempt.NewTable(1)
 		_, _ = table.Begin(claim(id, 0), 0)
--- a/internal/attempt/fate.go
+++ b/internal/attempt/fate.go
@@ -2,23 +2,24 @@
 
 import "github.com/limpetdock/limpetdock/internal/wire"
 
-// Step is what an entry does once a guard has told the fate of an attempt.
+// Step is the next action of an entry after a guard has reported the outcome of an
+// attempt.
 type Step uint8
 
 // The steps.
 const (
-	// Wait means that the attempt is where it should be: ask again later.
+	// Wait means that the attempt is waiting at the guard: ask again later.
 	Wait Step = iota
-	// Collect means that it runs, or ran: wait for its answer and take it.
+	// Collect means that it runs or ran: wait for its answer and collect it.
 	Collect
-	// Elsewhere means proof that it did not run and never will.
+	// RetryElsewhere means proof that it did not run and never will.
 	Elsewhere
-	// Unknown means that there is no proof and none can be had.
+	// Unknown means that there is no proof and none can be obtained.
 	Unknown
 )
 
-// Next gives the step after a guard's reply about an attempt that was sent to
-// an incarnation. Only a seal by that very incarnation is proof of not run.
+// NextStep returns the step after a guard's reply about an attempt that was sent to an
+// incarnation. Only a seal by that same incarnation proves that it did not run.
 func Next(reply *wire.Sealed, incarnation uint64) Step {
 	if reply.Incarnation != incarnation {
 		return Unknown
--- a/internal/attempt/handover.go
+++ b/internal/attempt/handover.go
@@ -10,49 +10,51 @@
 )
 
 const (
-	// maxHandedAnswers bounds the bytes of kept answers that are handed on.
-	maxHandedAnswers = 2 << 20
-	// maxHandedAnswer bounds one of them, its header included.
-	maxHandedAnswer = MaxAnswer + 32<<10
-	// maxHold is the longest that a table is kept for a successor.
+	// maxAnswersBytes bounds the bytes of stored answers that are handed over.
+	maxAnswersBytes = 2 << 20
+	// maxAnswerBytes bounds one of them, its header included.
+	maxAnswerBytes = MaxAnswer + 32<<10
+	// maxHold is the longest time that a peer stores a table for a successor.
 	maxHold = time.Minute
-	// maxFresh bounds how old the platform's word may be at a hand-over.
-	maxFresh = 15 * time.Second
-	// recordBytes and answerBytes are what a record and an answer take on the
-	// wire beside their id, header and body, at most; nameBytes the same of a name.
+	// maxConfirmationAge bounds how old the platform's last listing may be at a
+	// handover.
+	maxConfirmationAge = 15 * time.Second
+	// recordBytes and answerBytes are the largest overhead of a record and an answer on
+	// the wire besides id, header and body; nameBytes is the same for a name.
 	recordBytes = 32
 	answerBytes = 128
 	nameBytes   = 3
 )
 
-// KeyTable is what a stopping process knows of callers' own keys: enough for its
-// successor to go on as the home without a wait.
+// KeyTable is a stopping process's knowledge of callers' own keys. It is enough for
+// its successor to act as the home without waiting.
 type KeyTable struct {
 	Head    wire.KeysHead
 	Records []wire.KeyRecord
 }
 
-// holdFor is how long after its sealing a table may be taken, and freshFor how
-// old the platform's word may be on either side. Together, and with what a
-// transfer takes, they are under half of keep. A third process of the name that
-// nobody here has heard of takes no keys for twice keep after its start, so the
-// platform would have to be wrong about it for a whole keep before it matters.
-func (k *keyRules) holdFor() time.Duration  { return min(k.keep()/4, maxHold) }
-func (k *keyRules) freshFor() time.Duration { return min(k.keep()/8, maxFresh) }
+// holdTime is how long after its sealing a table may be used, and freshness how old
+// the platform's last listing may be on either side. Together with the transfer time
+// they are less than half of the retention. A third process of the same name that has
+// not been seen here accepts no keys for twice the retention after its start. So a
+// wrong listing by the platform does harm only if it lasts for a whole retention.
+func (k *keyRules) holdTime() time.Duration  { return min(k.retention()/4, maxHold) }
+func (k *keyRules) freshness() time.Duration { return min(k.retention()/8, maxConfirmationAge) }
 
-// FreshWithin is how old the platform's word may be when keys are handed or taken.
-func (t *Table) FreshWithin() time.Duration { return t.keys.freshFor() }
+// MaxConfirmationAge is how old the platform's last listing may be when keys are
+// handed over or restored.
+func (t *Table) MaxConfirmationAge() time.Duration { return t.keys.freshness() }
 
-func (k *keyRules) fresh(now time.Duration) bool {
-	return k.now.Addr != "" && k.hasShown && now-k.shown <= k.freshFor()
+func (k *keyRules) confirmedRecently(now time.Duration) bool {
+	return k.current.Addr != "" && k.hasListed && now-k.listedAt <= k.freshness()
 }
 
-// KeysToHand gives the bytes that the key table takes at most and how long a
-// peer may keep it. ok is false if this process isn't certain to be the home.
-func (t *Table) KeysToHand(now time.Duration) (bytes int, hold time.Duration, ok bool) {
+// HandoverSize returns the largest size of the key table in bytes and how long a peer
+// may store it. ok is false if this process isn't certain to be the home.
+func (t *Table) HandoverSize(now time.Duration) (bytes int, hold time.Duration, ok bool) {
 	t.sweepAll(now)
 	k := &t.keys
-	if k.handed || !k.fresh(now) || k.contested(now) {
+	if k.sealed || !k.confirmedRecently(now) || k.contested(now) {
 		return 0, 0, false
 	}
 	answers := 0
@@ -66,11 +68,11 @@
 			answers += r.answer.size() + answerBytes
 		}
 	}
-	return bytes + min(answers, maxHandedAnswers), k.holdFor(), true
+	return bytes + min(answers, maxAnswersBytes), k.holdTime(), true
 }
 
 func (k *keyRules) headBytes() int {
-	n := namesBytes(k.now.Targets)
+	n := namesBytes(k.current.Targets)
 	for _, e := range k.past {
 		n += namesBytes(e.targets)
 	}
@@ -85,7 +87,7 @@
 	return n
 }
 
-// RecordSize gives what a record takes on the wire, at most, in bytes.
+// RecordSize returns the largest size of a record on the wire, in bytes.
 func RecordSize(r *wire.KeyRecord) int {
 	n := len(r.ID) + recordBytes
 	if r.Answer != nil {
@@ -95,19 +97,19 @@
 	return n
 }
 
-// SealKeys ends this process's time as a home, for good, and gives its table. A
-// run that hasn't ended is told as one whose answer is lost. Later changes of
-// this table don't reach the successor, so nothing of a key may start, or be
-// called "not run", here any more.
+// SealKeys permanently ends this process's role as a home and returns its table. A run
+// that hasn't ended is reported as one whose answer is lost. Later changes of this
+// table don't reach the successor, so no key may start here, or be reported as "not
+// run", any more.
 func (t *Table) SealKeys(now time.Duration) (*KeyTable, bool) {
-	if _, _, ok := t.KeysToHand(now); !ok {
+	if _, _, ok := t.HandoverSize(now); !ok {
 		return nil, false
 	}
 	k := &t.keys
-	k.handed = true
+	k.sealed = true
 	out := &KeyTable{Head: wire.KeysHead{
-		Incarnation: t.incarnation, Service: k.now.Service, LifetimeMs: k.now.Lifetime.Milliseconds(),
-		ReachMs: ageMs(now, k.horizon), Targets: k.now.Targets,
+		Incarnation: t.incarnation, Service: k.current.Service, LifetimeMs: k.current.Lifetime.Milliseconds(),
+		ReachMs: ageMs(now, k.horizon), Targets: k.current.Targets,
 	}}
 	for _, e := range k.past {
 		out.Head.Past = append(out.Head.Past, wire.KeysEpoch{Targets: e.targets, AgoMs: ageMs(now, e.until)})
@@ -117,7 +119,7 @@
 	return out, true
 }
 
-// ageMs rounds down, so that a successor takes things for later than they were.
+// ageMs rounds down, so that a successor treats events as later than they were.
 func ageMs(now, at time.Duration) int64 {
 	age := (now - at) / time.Millisecond
 	if now < at {
@@ -126,8 +128,8 @@
 	return int64(age)
 }
 
-// keyRecords gives the records of keys, the latest first: copies of these are
-// the likeliest, and so their answers are handed while the bound lasts.
+// keyRecords returns the records of keys, the latest first. Copies of the latest are
+// the most likely, so their answers are handed over first, up to maxAnswersBytes.
 func (t *Table) keyRecords(now time.Duration) []wire.KeyRecord {
 	var out []wire.KeyRecord
 	for id, r := range t.records {
@@ -143,16 +145,16 @@
 	slices.SortFunc(out, func(a, b wire.KeyRecord) int {
 		return cmp.Or(cmp.Compare(a.AgoMs, b.AgoMs), strings.Compare(a.ID, b.ID))
 	})
-	left := maxHandedAnswers
+	remaining := maxAnswersBytes
 	for i := range out {
-		left -= settleAnswer(&out[i], left)
+		remaining -= trimAnswer(&out[i], remaining)
 	}
 	return out
 }
 
-// settleAnswer drops an answer for which no room is left, and gives the bytes of
-// one that stays.
-func settleAnswer(r *wire.KeyRecord, left int) int {
+// trimAnswer drops an answer that exceeds the remaining bytes, and returns the bytes
+// of one that is kept.
+func trimAnswer(r *wire.KeyRecord, remaining int) int {
 	if r.State == wire.AttemptSealed {
 		return 0
 	}
@@ -161,45 +163,46 @@
 		return 0
 	}
 	size := RecordSize(r)
-	if size > min(left, maxHandedAnswer) {
+	if size > min(remaining, maxAnswerBytes) {
 		r.State, r.Answer = wire.AttemptLost, nil
 		return 0
 	}
 	return size
 }
 
-// WantsKeys says whether this process may ask for its predecessor's table: the
-// platform shows it in its place, and nobody has told of another in between.
-func (t *Table) WantsKeys(now time.Duration) bool {
+// NeedsKeys reports whether this process may ask for its predecessor's table: the
+// platform lists this process under its own address, and no other process of this VM
+// has been seen since the predecessor.
+func (t *Table) NeedsKeys(now time.Duration) bool {
 	k := &t.keys
-	young := now < k.horizon+k.keep()
-	return young && !k.handed && !k.taken && !k.flapped && !k.hasRival && k.fresh(now)
+	young := now < k.horizon+k.retention()
+	return young && !k.sealed && !k.restored && !k.addressChanged && !k.hasNewer && k.confirmedRecently(now)
 }
 
-// TakeKeys makes a predecessor's table this one's, as if its process had gone
-// on: what that one remembered is remembered here, under the rules in force now.
-// It says whether it did; a table that may be out of date is refused.
-func (t *Table) TakeKeys(kt *KeyTable, now time.Duration) bool {
+// RestoreKeys adds a predecessor's records to this table, under the rules in force
+// now, as if that process had continued. It reports whether it did; a table that may
+// be out of date is refused.
+func (t *Table) RestoreKeys(kt *KeyTable, now time.Duration) bool {
 	k := &t.keys
 	h := &kt.Head
 	switch {
-	case !t.WantsKeys(now), h.Service != k.now.Service:
+	case !t.NeedsKeys(now), h.Service != k.current.Service:
 		return false
-	case h.Incarnation >= t.incarnation, h.Incarnation < k.older:
-		// The table isn't of the last process before this one.
+	case h.Incarnation >= t.incarnation, h.Incarnation < k.predecessor:
+		// The table isn't that of the process directly before this one.
 		return false
 	case len(kt.Records) != h.Records, len(t.records)+len(kt.Records) > maxRecords:
 		return false
 	case slices.ContainsFunc(kt.Records, func(r wire.KeyRecord) bool { return ClassOf(r.ID) != Key }):
 		return false
 	}
-	// The latest come first in the table, and the oldest are dropped first here.
+	// The latest come first in kt, and the oldest are dropped first here.
 	for i := range slices.Backward(kt.Records) {
 		t.restore(&kt.Records[i], now)
 	}
-	k.succeed(h, now)
-	own, past := k.now, k.past
-	k.now.Targets, k.now.Lifetime = h.Targets, ms(h.LifetimeMs)
+	k.adopt(h, now)
+	own, past := k.current, k.past
+	k.current.Targets, k.current.Lifetime = h.Targets, ms(h.LifetimeMs)
 	k.past = nil
 	for _, e := range h.Past {
 		k.past = append(k.past, epoch{targets: e.Targets, until: now - ms(e.AgoMs)})
@@ -209,36 +212,35 @@
 	return true
 }
 
-// succeed puts the predecessor's memory in the place of this process's own.
-// That the platform showed the predecessor's address until lately is no sign of
-// a third process.
-func (k *keyRules) succeed(h *wire.KeysHead, now time.Duration) {
+// adopt replaces the history of this process by its predecessor's. A recent listing of
+// the predecessor's address is no sign of a third process.
+func (k *keyRules) adopt(h *wire.KeysHead, now time.Duration) {
 	k.horizon = now - ms(h.ReachMs)
-	k.hasElsewhere = false
-	k.taken = true
-	k.confirmed = k.shown
+	k.hasOtherAddr = false
+	k.restored = true
+	k.confirmedAt = k.listedAt
 }
 
-// KeyState tells how a home stands, for people to read.
+// KeyState describes a home of keys on the status page.
 type KeyState struct {
-	// Taken says that the table of the process before was taken, Handed that this
-	// one's was sealed for the next.
+	// Restored is true if the predecessor's table was restored, HandedOver if this
+	// process's table was sealed for its successor.
 	Taken  bool `json:"taken"`
 	Handed bool `json:"handed"`
-	// Wait is how long until keys are taken, as far as the table's age goes.
+	// Wait is how long until keys are accepted, by the age of the table alone.
 	Wait time.Duration `json:"wait_ns"`
 }
 
-// KeyState gives the state of the home.
+// KeyState returns the state of the home.
 func (t *Table) KeyState(now time.Duration) KeyState {
 	k := &t.keys
-	return KeyState{Taken: k.taken, Handed: k.handed, Wait: max(0, k.horizon+k.keep()-now)}
+	return KeyState{Taken: k.restored, Handed: k.sealed, Wait: max(0, k.horizon+k.retention()-now)}
 }
 
 func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// restore adds a predecessor's record. Its age is counted from its sealing, so
-// it is kept a little longer than it need be.
+// restore adds a predecessor's record. Its age is counted from the sealing of the
+// table, so it is kept slightly longer than necessary.
 func (t *Table) restore(in *wire.KeyRecord, now time.Duration) {
 	if t.records[in.ID] != nil {
 		return
--- a/internal/attempt/handover_model_test.go
+++ b/internal/attempt/handover_model_test.go
@@ -13,22 +13,22 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// part is a part of a key table on its way to a keeper, which may come late,
-// twice or never.
+// part is a part of a key table on its way to a keeper. It may arrive late, twice or
+// never.
 type part struct {
 	keeper int
 	vm     string
 	p      *wire.KeysPart
 }
 
-// take is a successor's question, or the answer to it, on its way.
-type take struct {
-	to   *process
-	take *handover.Take
-	part *wire.KeysPart
+// transfer is a successor's request to a keeper, with the answer that is on its way.
+type transfer struct {
+	to       *process
+	received *handover.Take
+	part     *wire.KeysPart
 }
 
-// token makes tokens that never come again, as random ones don't.
+// token returns unique tokens, in place of random ones.
 func (w *world) token() uint64 {
 	w.serial++
 	return w.serial
@@ -38,21 +38,21 @@
 	return handover.Moment{Up: w.now, Wall: time.Unix(0, int64(w.now))}
 }
 
-func keeperNo(second bool) int {
+func keeperIndex(second bool) int {
 	if second {
 		return 1
 	}
 	return 0
 }
 
-// stop is a process that offers its table, seals it, and sends it to one keeper.
-// It lives on, sealed, as one that is frozen and woken does.
+// stop makes a process offer its table, seal it, and send it to one keeper. The
+// process keeps running with its table sealed, like one that was frozen and resumed.
 func (w *world) stop(p *process, second bool) {
 	if p.dead {
 		return
 	}
-	n := keeperNo(second)
-	bytes, hold, ok := p.table.KeysToHand(w.at(p))
+	n := keeperIndex(second)
+	bytes, hold, ok := p.table.HandoverSize(w.at(p))
 	if !ok {
 		return
 	}
@@ -74,35 +74,35 @@
 	}
 }
 
-// put brings a part to its keeper; it may come again.
+// put delivers a part to its keeper; it may be delivered again.
 func (w *world) put(m *part) { w.keepers[m.keeper].Put(m.vm, m.p, w.moment()) }
 
-// take asks a keeper, as a process does that wants its predecessor's table.
-func (w *world) take(p *process, second bool) {
-	if p == nil || p.dead || !p.table.WantsKeys(w.at(p)) {
+// requestTable asks a keeper for the table of p's predecessor.
+func (w *world) requestTable(p *process, second bool) {
+	if p == nil || p.dead || !p.table.NeedsKeys(w.at(p)) {
 		return
 	}
-	t := &take{to: p, take: handover.NewTake(w.moment())}
-	t.part = w.keepers[keeperNo(second)].Give(&wire.KeysAsk{
+	t := &transfer{to: p, received: handover.NewTake(w.moment())}
+	t.part = w.keepers[keeperIndex(second)].Give(&wire.KeysAsk{
 		Format: wire.KeysFormat, VM: p.vm, Incarnation: p.incarnation,
 	}, 0, w.moment())
-	w.takes = append(w.takes, t)
+	w.transfers = append(w.transfers, t)
 }
 
-// answer brings a keeper's answer to the process that asked.
-func (w *world) answer(t *take) {
-	w.takes = slices.DeleteFunc(w.takes, func(one *take) bool { return one == t })
-	if _, err := t.take.Add(t.part); err != nil || t.to.dead {
+// deliverPart delivers a keeper's answer to the process that asked.
+func (w *world) deliverPart(t *transfer) {
+	w.transfers = slices.DeleteFunc(w.transfers, func(one *transfer) bool { return one == t })
+	if _, err := t.received.Add(t.part); err != nil || t.to.dead {
 		return
 	}
-	if table, err := t.take.Table(w.moment()); err == nil {
-		t.to.table.TakeKeys(table, w.at(t.to))
+	if table, err := t.received.Table(w.moment()); err == nil {
+		t.to.table.RestoreKeys(table, w.at(t.to))
 	}
 }
 
-// leave is a graceful stop that hands the table on, and come a start that asks
-// for it, with nothing going wrong.
-func (w *world) leave(vm string, second bool) {
+// stopGracefully is a graceful stop that hands over the table, and startAndRestore a
+// start that asks for it, both without failures.
+func (w *world) stopGracefully(vm string, second bool) {
 	old := w.current[vm]
 	w.parts = nil
 	w.stop(old, second)
@@ -112,18 +112,18 @@
 	old.dead = true
 }
 
-func (w *world) come(vm string, second bool) {
+func (w *world) startAndRestore(vm string, second bool) {
 	w.boot(vm)
-	w.take(w.current[vm], second)
-	if len(w.takes) > 0 {
-		w.answer(w.takes[len(w.takes)-1])
+	w.requestTable(w.current[vm], second)
+	if len(w.transfers) > 0 {
+		w.deliverPart(w.transfers[len(w.transfers)-1])
 	}
 }
 
-// The same, with most of the chances for what may go wrong when one home's table
-// is handed on: a few bookings at one VM, sent again and again through two
-// entries, while its processes stop, crash, live on unheard and come back.
-func TestNothingRunsTwiceAcrossAHandOver(t *testing.T) {
+// The same checks, concentrated on the handover of one home's table: a few bookings at
+// one VM are sent repeatedly through two entries, while its processes stop, crash,
+// keep running unlisted and start again.
+func TestNothingRunsTwiceAcrossHandover(t *testing.T) {
 	var keys []string
 	for n := 0; len(keys) < 40; n++ {
 		if key := fmt.Sprint("key-", n); attempt.Home("s", key, []string{"a", "b", "c"}) == "a" {
@@ -132,30 +132,30 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld()
-		w.advance(rapid.SampledFrom([]time.Duration{waitFor, waitFor - aMinute}).Draw(t, "age"))
-		w.look(0)
-		w.look(1)
+		w.advance(rapid.SampledFrom([]time.Duration{startDelay, startDelay - aMinute}).Draw(t, "age"))
+		w.refreshEntry(0)
+		w.refreshEntry(1)
 		all := w.actions()
 		actions := w.handovers()
 		for _, name := range []string{"look", "advance", "cut", "declare", ""} {
 			actions[name] = all[name]
 		}
 		actions["book"] = func(t *rapid.T) {
-			if len(w.promises) < len(keys) {
-				p := &promise{class: attempt.Key, id: keys[len(w.promises)], first: w.now}
-				w.promises = append(w.promises, p)
+			if len(w.operations) < len(keys) {
+				p := &operation{class: attempt.Key, id: keys[len(w.operations)], first: w.now}
+				w.operations = append(w.operations, p)
 				w.deliver(p, rapid.IntRange(0, 1).Draw(t, "entry"))
 			}
 		}
 		actions["again"] = func(t *rapid.T) {
-			if n := len(w.promises); n > 0 {
-				w.deliver(w.promises[n-1-rapid.IntRange(0, min(n-1, 2)).Draw(t, "promise")], rapid.IntRange(0, 1).Draw(t, "entry"))
+			if n := len(w.operations); n > 0 {
+				w.deliver(w.operations[n-1-rapid.IntRange(0, min(n-1, 2)).Draw(t, "operation")], rapid.IntRange(0, 1).Draw(t, "entry"))
 			}
 		}
 		actions["again after a look"] = func(t *rapid.T) {
-			w.look(1)
-			if n := len(w.promises); n > 0 {
-				w.deliver(w.promises[n-1-rapid.IntRange(0, min(n-1, 2)).Draw(t, "promise")], 1)
+			w.refreshEntry(1)
+			if n := len(w.operations); n > 0 {
+				w.deliver(w.operations[n-1-rapid.IntRange(0, min(n-1, 2)).Draw(t, "operation")], 1)
 			}
 		}
 		actions["advance"] = func(t *rapid.T) { w.advance(rapid.SampledFrom(handoverPauses).Draw(t, "pause")) }
@@ -168,12 +168,12 @@
 	})
 }
 
-// handoverPauses are shorter and longer than each bound of a hand-over.
+// handoverPauses are shorter and longer than each time limit of a handover.
 var handoverPauses = []time.Duration{
-	100 * time.Millisecond, 3 * time.Second, 6 * time.Second, 30 * time.Second, 2 * time.Minute, keptFor / 2, lifetime, waitFor,
+	100 * time.Millisecond, 3 * time.Second, 6 * time.Second, 30 * time.Second, 2 * time.Minute, keyRetention / 2, lifetime, startDelay,
 }
 
-// handovers are the actions around a hand-over, of VM a.
+// handovers returns the actions around a handover of VM a.
 func (w *world) handovers() map[string]func(*rapid.T) {
 	coin := rapid.Bool()
 	return map[string]func(*rapid.T){
@@ -185,34 +185,34 @@
 				w.put(rapid.SampledFrom(w.parts).Draw(t, "part"))
 			}
 		},
-		"leave": func(t *rapid.T) { w.leave("a", coin.Draw(t, "keeper")) },
-		"come":  func(t *rapid.T) { w.come("a", coin.Draw(t, "keeper")) },
+		"leave": func(t *rapid.T) { w.stopGracefully("a", coin.Draw(t, "keeper")) },
+		"come":  func(t *rapid.T) { w.startAndRestore("a", coin.Draw(t, "keeper")) },
 		"start": func(t *rapid.T) {
-			w.stray = w.start("a")
+			w.unlisted = w.start("a")
 			if coin.Draw(t, "reads") {
-				w.read(w.stray)
+				w.refreshProcess(w.unlisted)
 			}
 		},
 		"list": func(t *rapid.T) {
-			if w.stray != nil {
-				w.current["a"], w.stray = w.stray, nil
-				w.read(w.current["a"])
+			if w.unlisted != nil {
+				w.current["a"], w.unlisted = w.unlisted, nil
+				w.refreshProcess(w.current["a"])
 			}
 		},
-		"ask": func(t *rapid.T) { w.take(w.current["a"], coin.Draw(t, "keeper")) },
+		"ask": func(t *rapid.T) { w.requestTable(w.current["a"], coin.Draw(t, "keeper")) },
 		"answer": func(t *rapid.T) {
-			if len(w.takes) > 0 {
-				w.answer(rapid.SampledFrom(w.takes).Draw(t, "take"))
+			if len(w.transfers) > 0 {
+				w.deliverPart(rapid.SampledFrom(w.transfers).Draw(t, "transfer"))
 			}
 		},
 		"restart": func(t *rapid.T) {
 			second := coin.Draw(t, "keeper")
-			w.leave("a", second)
+			w.stopGracefully("a", second)
 			w.advance(time.Second)
-			w.come("a", second)
+			w.startAndRestore("a", second)
 		},
 		"restart keeper": func(t *rapid.T) {
-			w.keepers[keeperNo(coin.Draw(t, "keeper"))] = handover.NewKeeper(w.token)
+			w.keepers[keeperIndex(coin.Draw(t, "keeper"))] = handover.NewKeeper(w.token)
 		},
 	}
 }
--- a/internal/attempt/handover_test.go
+++ b/internal/attempt/handover_test.go
@@ -11,7 +11,8 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// movedKey finds a key whose home is vm under one list of targets and a under another.
+// movedKey returns a key whose home is vm under one list of targets and a under
+// another.
 func movedKey(vm string, under, now []string) string {
 	for n := 0; ; n++ {
 		key := fmt.Sprint("moved-", n)
@@ -25,60 +26,60 @@
 	return attempt.Claim{ID: attempt.KeyID(key), Incarnation: incarnation, Tick: attempt.Tick(now)}
 }
 
-// predecessor is a home that has taken keys for long enough.
-func predecessor(k attempt.Keys) *attempt.Table {
+// predecessor returns a home that has accepted keys for long enough.
+func predecessor(k attempt.KeyConfig) *attempt.Table {
 	t := attempt.NewTable(1)
-	listed(t, k)
-	t.Confirm(k.Addr, waitFor)
+	startListed(t, k)
+	t.Confirm(k.Addr, startDelay)
 	return t
 }
 
-// A home is restarted, and its next process takes over what it knew. Whatever
-// may have happened in between, no booking runs a second time.
-func TestWhatASuccessorMakesOfItsPredecessorsKeys(t *testing.T) {
+// A home is restarted, and its next process restores the key table. Whatever happened
+// in between, no booking may run a second time.
+func TestRestoredKeysNeverRunTwice(t *testing.T) {
 	abc, ab, ac := []string{"a", "b", "c"}, []string{"a", "b"}, []string{"a", "c"}
 	stays, moved := keyOf("a", abc...), movedKey("b", ab, ac)
 	first := rules("ip", abc...)
 	short := first
 	short.Lifetime = aMinute
 	cases := []struct {
-		name   string
-		before func(*attempt.Table)
-		rules  attempt.Keys
-		next   attempt.Keys
-		after  func(*attempt.Table)
-		key    string
-		taken  bool
-		want   attempt.Verdict
+		name     string
+		before   func(*attempt.Table)
+		rules    attempt.KeyConfig
+		next     attempt.KeyConfig
+		after    func(*attempt.Table)
+		key      string
+		restored bool
+		want     attempt.Verdict
 	}{
-		{name: "a copy of what ran there", key: "ran", taken: true, want: attempt.Known},
-		{name: "a new key", key: stays, taken: true, want: attempt.Start},
+		{name: "a copy of what ran there", key: "ran", restored: true, want: attempt.Known},
+		{name: "a new key", key: stays, restored: true, want: attempt.Start},
 		{
 			name: "the targets were changed meanwhile", rules: rules("ip", ab...), next: rules("ip", ac...),
-			key: moved, taken: true, want: attempt.Young,
+			key: moved, restored: true, want: attempt.TooEarly,
 		},
 		{
-			name: "they were changed before", rules: rules("ip", ab...), next: rules("ip", ac...),
-			before: func(t *attempt.Table) { t.SetKeys(rules("ip", ac...), waitFor) },
-			key:    moved, taken: true, want: attempt.Young,
+			name: "the targets were changed before", rules: rules("ip", ab...), next: rules("ip", ac...),
+			before: func(t *attempt.Table) { t.SetKeys(rules("ip", ac...), startDelay) },
+			key:    moved, restored: true, want: attempt.TooEarly,
 		},
-		{name: "the lifetime was raised meanwhile", rules: short, key: stays, taken: true, want: attempt.Young},
+		{name: "the lifetime was raised meanwhile", rules: short, key: stays, restored: true, want: attempt.TooEarly},
 		{
-			name: "another process in between was heard of", after: func(t *attempt.Table) { t.Heard(2, 0) },
-			key: stays, want: attempt.Young,
+			name: "another process in between was seen", after: func(t *attempt.Table) { t.NoteIncarnation(2, 0) },
+			key: stays, want: attempt.TooEarly,
 		},
 		{
-			name: "a newer one was heard of", after: func(t *attempt.Table) { t.Heard(9, 0) },
-			key: stays, want: attempt.Young,
+			name: "a newer process was seen", after: func(t *attempt.Table) { t.NoteIncarnation(9, 0) },
+			key: stays, want: attempt.TooEarly,
 		},
 		{
-			name: "another was listed in the successor's place", key: stays, want: attempt.Young,
+			name: "another was listed in the successor's place", key: stays, want: attempt.TooEarly,
 			after: func(t *attempt.Table) { t.Confirm("other", 1); t.Confirm("ip", 2) },
 		},
-		{name: "the platform shows the VM elsewhere", next: rules("ip2", abc...), key: stays, want: attempt.Young},
+		{name: "the platform lists the VM under another address", next: rules("ip2", abc...), key: stays, want: attempt.TooEarly},
 		{
-			name: "the VM serves something else now", key: stays, want: attempt.Young,
-			next: attempt.Keys{Service: "t", Self: "a", Targets: []string{"a"}, Lifetime: lifetime, Addr: "ip"},
+			name: "the VM serves another service now", key: stays, want: attempt.TooEarly,
+			next: attempt.KeyConfig{Service: "t", Self: "a", Targets: []string{"a"}, Lifetime: lifetime, Addr: "ip"},
 		},
 	}
 	for _, c := range cases {
@@ -93,15 +94,15 @@
 			if c.before != nil {
 				c.before(old)
 			}
-			ran, _ := old.Begin(claimKey("ran", 1, waitFor), waitFor)
-			sealed, ok := old.SealKeys(waitFor)
+			ran, _ := old.Begin(claimKey("ran", 1, startDelay), startDelay)
+			sealed, ok := old.SealKeys(startDelay)
 			require.True(t, ok)
 			next := attempt.NewTable(3)
-			listed(next, c.next)
+			startListed(next, c.next)
 			if c.after != nil {
 				c.after(next)
 			}
-			require.Equal(t, c.taken, next.TakeKeys(sealed, time.Second))
+			require.Equal(t, c.restored, next.RestoreKeys(sealed, time.Second))
 			if c.key == "ran" && ran != attempt.Start {
 				t.Skip("the key's home is another")
 			}
@@ -111,30 +112,30 @@
 	}
 }
 
-// A home has handed its keys on and lives a little longer. If it still called a
-// key "not run", or ran it, its successor could run it too.
-func TestAfterHandingItsKeysOnAHomeDecidesNothing(t *testing.T) {
+// A home has handed over its keys and is still running. If it still reported a key as
+// "not run", or ran it, its successor could run it too.
+func TestHomeRefusesKeysAfterHandover(t *testing.T) {
 	key := keyOf("a", "a", "b", "c")
 	old := predecessor(rules("ip", "a", "b", "c"))
-	_, ok := old.SealKeys(waitFor)
+	_, ok := old.SealKeys(startDelay)
 	require.True(t, ok)
-	v, _ := old.Begin(claimKey(key, 1, waitFor), waitFor)
-	require.Equal(t, attempt.Handed, v)
-	require.Equal(t, wire.AttemptAbsent, old.Seal(claimKey(key, 1, waitFor), false, waitFor))
-	_, again := old.SealKeys(waitFor)
+	v, _ := old.Begin(claimKey(key, 1, startDelay), startDelay)
+	require.Equal(t, attempt.HandedOver, v)
+	require.Equal(t, wire.AttemptAbsent, old.Seal(claimKey(key, 1, startDelay), false, startDelay))
+	_, again := old.SealKeys(startDelay)
 	require.False(t, again)
 }
 
-// Who isn't certain to be the home has nothing to hand on.
-func TestOnlyAConfirmedHomeHandsItsKeysOn(t *testing.T) {
+// A process that isn't certain to be the home must not hand over keys.
+func TestOnlyConfirmedHomeHandsOverKeys(t *testing.T) {
 	for name, happens := range map[string]func(*attempt.Table) time.Duration{
-		"the platform's word is old":  func(*attempt.Table) time.Duration { return waitFor + aMinute },
-		"a newer process is heard of": func(t *attempt.Table) time.Duration { t.Heard(2, waitFor); return waitFor },
-		"listed elsewhere": func(t *attempt.Table) time.Duration {
-			t.Confirm("other", waitFor)
-			return waitFor
+		"the last listing is too old": func(*attempt.Table) time.Duration { return startDelay + aMinute },
+		"a newer process was seen":    func(t *attempt.Table) time.Duration { t.NoteIncarnation(2, startDelay); return startDelay },
+		"listed under another address": func(t *attempt.Table) time.Duration {
+			t.Confirm("other", startDelay)
+			return startDelay
 		},
-		"suspended": func(t *attempt.Table) time.Duration { t.Doubt(); return waitFor },
+		"suspended": func(t *attempt.Table) time.Duration { t.ExpireConfirmation(); return startDelay },
 	} {
 		old := predecessor(rules("ip", "a", "b", "c"))
 		_, ok := old.SealKeys(happens(old))
@@ -142,18 +143,18 @@
 	}
 }
 
-// A home is restarted every few days for months. Were a predecessor's records
-// never dropped, they would fill the table, and bookings would be refused.
-func TestAPredecessorsRecordsGoInTime(t *testing.T) {
+// A home is restarted every few days for months. If a predecessor's records were never
+// dropped, they would fill the table and bookings would be refused.
+func TestRestoredRecordsExpire(t *testing.T) {
 	old := predecessor(rules("ip", "a"))
 	for n := range 100 {
-		_, _ = old.Begin(claimKey(fmt.Sprint("k", n), 1, waitFor), waitFor)
+		_, _ = old.Begin(claimKey(fmt.Sprint("k", n), 1, startDelay), startDelay)
 	}
-	sealed, ok := old.SealKeys(waitFor)
+	sealed, ok := old.SealKeys(startDelay)
 	require.True(t, ok)
 	next := attempt.NewTable(2)
-	listed(next, rules("ip", "a"))
-	require.True(t, next.TakeKeys(sealed, time.Second))
+	startListed(next, rules("ip", "a"))
+	require.True(t, next.RestoreKeys(sealed, time.Second))
 	records, _ := next.Len()
 	require.Equal(t, 100, records)
 	const late = 24 * time.Hour
@@ -164,29 +165,29 @@
 	require.Zero(t, records)
 }
 
-func TestAnswersAreHandedWithinABound(t *testing.T) {
+func TestHandedOverAnswersAreBounded(t *testing.T) {
 	old := predecessor(rules("ip", "a"))
 	const runs = 100
 	for n := range runs {
 		key := fmt.Sprint("k", n)
-		v, _ := old.Begin(claimKey(key, 1, waitFor), waitFor)
+		v, _ := old.Begin(claimKey(key, 1, startDelay), startDelay)
 		require.Equal(t, attempt.Start, v)
 		if n > 0 {
-			old.Finish(attempt.KeyID(key), &attempt.Answer{Status: 200, Body: make([]byte, attempt.MaxAnswer)}, waitFor)
+			old.Finish(attempt.KeyID(key), &attempt.Answer{Status: 200, Body: make([]byte, attempt.MaxAnswer)}, startDelay)
 		}
 	}
-	sealed, ok := old.SealKeys(waitFor)
+	sealed, ok := old.SealKeys(startDelay)
 	require.True(t, ok)
 	next := attempt.NewTable(2)
-	listed(next, rules("ip", "a"))
-	require.True(t, next.TakeKeys(sealed, time.Second))
+	startListed(next, rules("ip", "a"))
+	require.True(t, next.RestoreKeys(sealed, time.Second))
 	states := map[wire.AttemptState]int{}
 	for n := range runs {
-		state, _, _ := next.Look(attempt.KeyID(fmt.Sprint("k", n)))
+		state, _, _ := next.Lookup(attempt.KeyID(fmt.Sprint("k", n)))
 		states[state]++
 	}
 	_, stored := next.Len()
 	require.LessOrEqual(t, stored, 2<<20)
-	require.Equal(t, 31, states[wire.AttemptDone], "the rest of 2 MiB takes no more")
-	require.Equal(t, runs-31, states[wire.AttemptLost], "a run under way at the seal among them")
+	require.Equal(t, 31, states[wire.AttemptDone], "no further answer fits into 2 MiB")
+	require.Equal(t, runs-31, states[wire.AttemptLost], "including a run that was in progress at the seal")
 }
--- a/internal/attempt/id.go
+++ b/internal/attempt/id.go
@@ -2,19 +2,19 @@
 
 import "strings"
 
-// Class tells what promise stands behind an id, and so how long its record lives.
+// Class is the kind of an id. It determines how long the record is kept.
 type Class uint8
 
 // The classes of ids.
 const (
-	// Try is one attempt of an entry, sent once and known to nobody else.
+	// SingleAttempt is one attempt of an entry, sent once and known to no other sender.
 	Try Class = iota
-	// Ticket was handed to a caller, who may send it again through any node.
+	// Ticket was issued to a caller, who may send it again through any node.
 	Ticket
 	// Key is a caller's own idempotency key, at its home.
 	Key
-	// Exchange is an idempotent request under way. It is never recorded; an
-	// entry that hears nothing asks whether it still is.
+	// Exchange is an idempotent request in progress. It is never recorded; an entry that
+	// gets no answer asks whether it is still in progress.
 	Exchange
 )
 
@@ -24,16 +24,16 @@
 	exchangePrefix = "x:"
 )
 
-// TicketID gives the id of a ticket's attempt.
+// TicketID returns the id of a ticket's attempt.
 func TicketID(id string) string { return ticketPrefix + id }
 
-// KeyID gives the id of the attempt that a caller's own key names.
+// KeyID returns the id of the attempt for a caller's own key.
 func KeyID(key string) string { return keyPrefix + key }
 
-// ExchangeID gives the id of an idempotent request on its way.
+// ExchangeID returns the id of an idempotent request in progress.
 func ExchangeID(id string) string { return exchangePrefix + id }
 
-// ClassOf tells the class of an id.
+// ClassOf returns the class of an id.
 func ClassOf(id string) Class {
 	switch {
 	case strings.HasPrefix(id, ticketPrefix):
--- a/internal/attempt/main_test.go
+++ b/internal/attempt/main_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the generated histories, so that every run of the
-// suite checks the same ones.
+// TestMain fixes the seed of the generated histories, so that every run of the tests
+// checks the same ones.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{
 		"rapid.seed": "20261202", "rapid.nofailfile": "true", "rapid.checks": "6000", "rapid.steps": "80",
 	} {
-		if given := flag.Lookup(name); given.Value.String() == given.DefValue {
+		if current := flag.Lookup(name); current.Value.String() == current.DefValue {
 			if err := flag.Set(name, value); err != nil {
 				panic(err)
 			}
--- a/internal/attempt/model_test.go
+++ b/internal/attempt/model_test.go
@@ -13,11 +13,10 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// The story: a manager confirms an order, and the confirmation runs twice, or
-// she is told that it didn't run while it did or does later. The world below
-// plays what can lead there: copies through two entries with different views,
-// messages held up for any time, exchanges that break before or after they
-// arrive, processes that end, are replaced, live on beside their replacement,
+// The model checks that no operation runs twice, and that a caller who got "not run"
+// can rely on it, then and later. It covers copies through two entries with different
+// views, messages delayed for any time, exchanges that break before or after they
+// arrive, processes that end, are replaced, keep running beside their replacement or
 // are cut off from the platform, and revisions that move the homes of keys.
 
 const lifetime = 10 * time.Minute
@@ -34,8 +33,8 @@
 	lifetime    time.Duration
 }
 
-// promise is what the caller was promised: one ticket, key or plain request.
-type promise struct {
+// operation is what a caller asked for: one ticket, key or plain request.
+type operation struct {
 	class     attempt.Class
 	id        string
 	first     time.Duration
@@ -49,14 +48,14 @@
 
 // message is a copy of a request on its way to a process.
 type message struct {
-	p       *promise
+	op      *operation
 	to      *process
 	claim   attempt.Claim
 	entry   int
 	arrived time.Duration
-	// broken says that the entry has given the exchange up already.
+	// broken is true once the entry has given up the exchange.
 	broken bool
-	// lifetime is the one that the entry knows.
+	// lifetime is the key lifetime known to the entry.
 	lifetime time.Duration
 }
 
@@ -67,21 +66,21 @@
 	targets   []string
 	current   map[string]*process
 	processes []*process
-	// views are the entries' own: which process they reach a VM at, what they
-	// declared, and the identity that they learnt of it.
-	views    [2]map[string]*process
-	declared [2][]string
-	lifes    [2]time.Duration
-	learnt   [2]map[string]attempt.Claim
-	promises []*promise
-	flying   []*message
-	open     []*message
-	// keepers, parts and takes are of the hand-over of key tables.
-	keepers [2]*handover.Keeper
-	parts   []*part
-	takes   []*take
-	// stray is a process that has started and isn't listed.
-	stray *process
+	// views holds the process that each entry uses for a VM, declared its targets, and
+	// identities the identities it has received.
+	views      [2]map[string]*process
+	declared   [2][]string
+	lifetimes  [2]time.Duration
+	identities [2]map[string]attempt.Claim
+	operations []*operation
+	inFlight   []*message
+	unresolved []*message
+	// keepers, parts and transfers model the handover of key tables.
+	keepers   [2]*handover.Keeper
+	parts     []*part
+	transfers []*transfer
+	// unlisted is a process that has started and isn't listed.
+	unlisted *process
 }
 
 func newWorld() *world {
@@ -93,7 +92,7 @@
 		w.boot(vm)
 	}
 	for i := range w.views {
-		w.look(i)
+		w.refreshEntry(i)
 	}
 	return w
 }
@@ -101,7 +100,7 @@
 func (w *world) boot(vm string) {
 	p := w.start(vm)
 	w.current[vm] = p
-	w.read(p)
+	w.refreshProcess(p)
 }
 
 // start starts a process that the platform doesn't list yet.
@@ -115,21 +114,22 @@
 
 func (w *world) at(p *process) time.Duration { return w.now - p.start }
 
-// read is a process that hears the platform.
-func (w *world) read(p *process) {
+// refreshProcess applies the platform's current state to a process, unless it is cut
+// off.
+func (w *world) refreshProcess(p *process) {
 	if p.dead || p.cut {
 		return
 	}
 	p.targets, p.lifetime = w.targets, w.lifetime
-	p.table.SetKeys(attempt.Keys{Service: "s", Self: p.vm, Targets: p.targets, Lifetime: w.lifetime, Addr: p.addr}, w.at(p))
+	p.table.SetKeys(attempt.KeyConfig{Service: "s", Self: p.vm, Targets: p.targets, Lifetime: w.lifetime, Addr: p.addr}, w.at(p))
 	p.table.Confirm(w.current[p.vm].addr, w.at(p))
 }
 
-// look refreshes an entry's view, and what it knows of its guards.
-func (w *world) look(entry int) {
+// refreshEntry updates an entry's view, and the identities of its guards.
+func (w *world) refreshEntry(entry int) {
 	w.views[entry] = map[string]*process{}
-	w.learnt[entry] = map[string]attempt.Claim{}
-	w.declared[entry], w.lifes[entry] = w.targets, w.lifetime
+	w.identities[entry] = map[string]attempt.Claim{}
+	w.declared[entry], w.lifetimes[entry] = w.targets, w.lifetime
 	for vm, p := range w.current {
 		w.views[entry][vm] = p
 		w.learn(entry, p)
@@ -137,7 +137,7 @@
 }
 
 func (w *world) learn(entry int, p *process) {
-	w.learnt[entry][p.vm] = attempt.Claim{Incarnation: p.incarnation, Tick: attempt.Tick(w.at(p))}
+	w.identities[entry][p.vm] = attempt.Claim{Incarnation: p.incarnation, Tick: attempt.Tick(w.at(p))}
 }
 
 func (w *world) advance(d time.Duration) {
@@ -146,14 +146,14 @@
 		w.now += min(d, step)
 		d -= step
 		for _, p := range w.processes {
-			w.read(p)
+			w.refreshProcess(p)
 		}
 	}
 }
 
-// submit sends a copy of a promise through an entry.
-func (w *world) submit(p *promise, entry int, arrived time.Duration, vm string) {
-	m := &message{p: p, entry: entry, arrived: arrived, lifetime: w.lifes[entry]}
+// submit sends a copy of an operation through an entry.
+func (w *world) submit(p *operation, entry int, arrived time.Duration, vm string) {
+	m := &message{op: p, entry: entry, arrived: arrived, lifetime: w.lifetimes[entry]}
 	var id string
 	switch p.class {
 	case attempt.Try:
@@ -171,18 +171,18 @@
 	if m.to == nil {
 		return
 	}
-	m.claim = w.learnt[entry][vm]
+	m.claim = w.identities[entry][vm]
 	if p.class == attempt.Ticket {
 		m.claim = attempt.Claim{Incarnation: p.ticketFor.incarnation, Tick: p.tick}
 	}
 	m.claim.ID = id
 	p.ids = append(p.ids, id)
-	w.flying = append(w.flying, m)
+	w.inFlight = append(w.inFlight, m)
 }
 
-// arrive hands a message to its process, as the guard does.
+// arrive delivers a message to its process, as the guard does.
 func (w *world) arrive(m *message, refused, lost bool) {
-	w.flying = slices.DeleteFunc(w.flying, func(one *message) bool { return one == m })
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(one *message) bool { return one == m })
 	if m.to.dead {
 		w.fail(m)
 		return
@@ -198,7 +198,7 @@
 	}
 	v, _ := m.to.table.Begin(m.claim, w.at(m.to))
 	if v == attempt.Start {
-		m.p.runs++
+		m.op.runs++
 	}
 	if lost {
 		w.fail(m)
@@ -206,22 +206,22 @@
 	}
 	switch v {
 	case attempt.Known:
-		if state, _, _ := m.to.table.Look(m.claim.ID); state == wire.AttemptSealed {
+		if state, _, _ := m.to.table.Lookup(m.claim.ID); state == wire.AttemptSealed {
 			w.notRun(m)
 		}
 	case attempt.Expired:
 		w.notRun(m)
 	case attempt.Stale:
 		w.learn(m.entry, m.to)
-		if m.p.class != attempt.Ticket {
-			w.submit(m.p, m.entry, m.arrived, m.to.vm)
+		if m.op.class != attempt.Ticket {
+			w.submit(m.op, m.entry, m.arrived, m.to.vm)
 		}
 	}
 }
 
-// refuse is a guard without room, before anything is recorded.
+// refuse models a guard without capacity, before anything is recorded.
 func (w *world) refuse(m *message, lost bool) {
-	if m.p.class != attempt.Try {
+	if m.op.class != attempt.Try {
 		if m.to.table.Seal(m.claim, false, w.at(m.to)) != wire.AttemptSealed {
 			return
 		}
@@ -233,26 +233,27 @@
 	w.notRun(m)
 }
 
-// notRun is proof about one copy. A plain request may go elsewhere on it.
+// notRun records the proof that one copy did not run. A plain request may then be sent
+// to another target.
 func (w *world) notRun(m *message) {
-	if m.p.class == attempt.Try && w.serial%2 == 0 && m.p.runs == 0 {
-		w.submit(m.p, m.entry, m.arrived, w.declared[m.entry][int(w.serial/2)%len(w.declared[m.entry])])
+	if m.op.class == attempt.Try && w.serial%2 == 0 && m.op.runs == 0 {
+		w.submit(m.op, m.entry, m.arrived, w.declared[m.entry][int(w.serial/2)%len(w.declared[m.entry])])
 		return
 	}
-	m.p.notRun = true
-	m.p.closed = true
+	m.op.notRun = true
+	m.op.closed = true
 }
 
 func (w *world) fail(m *message) {
 	if !m.broken {
 		m.broken = true
-		w.open = append(w.open, m)
+		w.unresolved = append(w.unresolved, m)
 	}
 }
 
-// resolve is the entry that asks what became of a copy.
+// resolve models an entry that asks for the outcome of a copy.
 func (w *world) resolve(m *message) {
-	w.open = slices.DeleteFunc(w.open, func(one *message) bool { return one == m })
+	w.unresolved = slices.DeleteFunc(w.unresolved, func(one *message) bool { return one == m })
 	at := w.views[m.entry][m.to.vm]
 	if at == nil || at.dead {
 		return
@@ -265,22 +266,22 @@
 }
 
 func (w *world) check(t *rapid.T) {
-	for _, p := range w.promises {
+	for _, p := range w.operations {
 		if p.runs > 1 {
 			t.Fatalf("class %d, id %s ran %d times", p.class, p.id, p.runs)
 		}
 		if p.notRun && p.runs > 0 {
-			t.Fatalf("class %d, id %s ran, and a caller was told it didn't", p.class, p.id)
+			t.Fatalf("class %d, id %s ran, but a caller got \"not run\"", p.class, p.id)
 		}
 	}
 }
 
 var pauses = []time.Duration{
 	100 * time.Millisecond, time.Second, attempt.KeyDelay, attempt.Window / 2, attempt.Window, 2 * attempt.Window,
-	attempt.TicketWindow, lifetime / 2, lifetime, keptFor,
+	attempt.TicketWindow, lifetime / 2, lifetime, keyRetention,
 }
 
-// actions are what may happen next, each drawn by rapid.
+// actions returns the possible next events, drawn by rapid.
 func (w *world) actions() map[string]func(*rapid.T) {
 	entry := rapid.IntRange(0, 1)
 	coin := rapid.Bool()
@@ -290,26 +291,26 @@
 			w.request(attempt.Class(rapid.IntRange(0, 2).Draw(t, "class")), entry.Draw(t, "entry"), vm)
 		},
 		"copy": func(t *rapid.T) {
-			w.copy(rapid.SampledFrom(or(w.promises)).Draw(t, "promise"), entry.Draw(t, "entry"))
+			w.copy(rapid.SampledFrom(or(w.operations)).Draw(t, "operation"), entry.Draw(t, "entry"))
 		},
 		"arrive": func(t *rapid.T) {
-			if len(w.flying) > 0 {
-				w.arrive(rapid.SampledFrom(w.flying).Draw(t, "message"), rapid.IntRange(0, 5).Draw(t, "full") == 0, coin.Draw(t, "lost"))
+			if len(w.inFlight) > 0 {
+				w.arrive(rapid.SampledFrom(w.inFlight).Draw(t, "message"), rapid.IntRange(0, 5).Draw(t, "full") == 0, coin.Draw(t, "lost"))
 			}
 		},
 		"break": func(t *rapid.T) {
-			if len(w.flying) > 0 {
-				w.fail(rapid.SampledFrom(w.flying).Draw(t, "message"))
+			if len(w.inFlight) > 0 {
+				w.fail(rapid.SampledFrom(w.inFlight).Draw(t, "message"))
 			}
 		},
 		"resolve": func(t *rapid.T) {
-			if len(w.open) > 0 {
-				w.resolve(rapid.SampledFrom(w.open).Draw(t, "message"))
+			if len(w.unresolved) > 0 {
+				w.resolve(rapid.SampledFrom(w.unresolved).Draw(t, "message"))
 			}
 		},
 		"finish": func(t *rapid.T) {
 			p := rapid.SampledFrom(w.processes).Draw(t, "process")
-			for _, one := range w.promises {
+			for _, one := range w.operations {
 				for _, id := range one.ids {
 					p.table.Finish(id, nil, w.at(p))
 				}
@@ -319,7 +320,7 @@
 		"replace": func(t *rapid.T) {
 			vm := rapid.SampledFrom(w.targets).Draw(t, "vm")
 			old := w.current[vm]
-			// A zombie lives on, cut off or not.
+			// The old process may keep running, cut off or not.
 			old.dead = coin.Draw(t, "dead")
 			old.cut = coin.Draw(t, "cut")
 			w.boot(vm)
@@ -328,7 +329,7 @@
 			p := rapid.SampledFrom(w.processes).Draw(t, "process")
 			p.cut = !p.cut
 		},
-		"look": func(t *rapid.T) { w.look(entry.Draw(t, "entry")) },
+		"look": func(t *rapid.T) { w.refreshEntry(entry.Draw(t, "entry")) },
 		"declare": func(t *rapid.T) {
 			all := []string{"a", "b", "c"}
 			w.targets = all[:rapid.IntRange(2, 3).Draw(t, "count")]
@@ -338,28 +339,28 @@
 	}
 }
 
-func or(list []*promise) []*promise {
+func or(list []*operation) []*operation {
 	if len(list) == 0 {
-		return []*promise{nil}
+		return []*operation{nil}
 	}
 	return list
 }
 
 func (w *world) request(class attempt.Class, entry int, vm string) {
 	w.serial++
-	p := &promise{class: class, id: fmt.Sprint(w.serial), first: w.now}
+	p := &operation{class: class, id: fmt.Sprint(w.serial), first: w.now}
 	if class == attempt.Ticket {
 		p.ticketFor = w.current[vm]
 		p.tick = attempt.Tick(w.at(p.ticketFor))
 	}
-	w.promises = append(w.promises, p)
+	w.operations = append(w.operations, p)
 	w.submit(p, entry, w.now, vm)
 }
 
-// copy is the caller that sends again, as long as its key lives, as declared
-// where it asks.
-func (w *world) copy(p *promise, entry int) {
-	if p == nil || p.class == attempt.Try || p.class == attempt.Key && w.now-p.first > w.lifes[entry] {
+// copy models a caller that sends again while its key is valid, by the lifetime known
+// to the entry.
+func (w *world) copy(p *operation, entry int) {
+	if p == nil || p.class == attempt.Try || p.class == attempt.Key && w.now-p.first > w.lifetimes[entry] {
 		return
 	}
 	w.submit(p, entry, w.now, "")
@@ -368,11 +369,11 @@
 func TestNothingRunsTwiceAndNotRunIsTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld()
-		// Half of the worlds are old enough to take keys from the start.
+		// Half of the generated worlds are old enough to accept keys from the start.
 		if rapid.Bool().Draw(t, "old") {
-			w.advance(waitFor)
-			w.look(0)
-			w.look(1)
+			w.advance(startDelay)
+			w.refreshEntry(0)
+			w.refreshEntry(1)
 		}
 		t.Repeat(w.actions())
 	})
--- a/internal/attempt/records_bench_test.go
+++ b/internal/attempt/records_bench_test.go
@@ -11,10 +11,11 @@
 	"github.com/google/uuid"
 )
 
-// BenchmarkRecords fills a table for a minute of a node's calls, of which a
-// share are bookings, and a minute more in which records also go. It reports the
-// memory of a record with and without a kept answer of 200 bytes, how many
-// attempts found no room, and what the guard's mutex is held for.
+// BenchmarkRecords fills a table with one minute of a node's calls, of which a share
+// are bookings, and continues for another minute in which records are also dropped. It
+// reports the memory of a record with and without a stored answer of 200 bytes, the
+// share of attempts refused because the table was full, and how long the guard's mutex
+// is held.
 func BenchmarkRecords(b *testing.B) {
 	for _, rate := range []int{371, 4079} {
 		for _, percent := range []int{10, 100} {
@@ -32,10 +33,10 @@
 
 func fillRecords(b *testing.B, rate, size int) {
 	table := NewTable(1)
-	before := held()
+	before := heapInUse()
 	now, refused, most := time.Duration(0), 0, 0
 	var begin, finish, worst time.Duration
-	calls := rate * int(2*keep/time.Second)
+	calls := rate * int(2*retention/time.Second)
 	for range calls {
 		now += time.Second / time.Duration(rate)
 		id := uuid.NewString()
@@ -54,7 +55,7 @@
 		most = max(most, len(table.records))
 	}
 	n, _ := table.Len()
-	b.ReportMetric(float64(held()-before)/float64(n), "B/record")
+	b.ReportMetric(float64(heapInUse()-before)/float64(n), "B/record")
 	b.ReportMetric(float64(most), "records")
 	b.ReportMetric(float64(refused)/float64(calls)*100, "%-refused")
 	b.ReportMetric(float64(begin.Nanoseconds())/float64(calls), "ns/begin")
@@ -63,15 +64,15 @@
 	runtime.KeepAlive(table)
 }
 
-func held() uint64 {
+func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// BenchmarkRecordsSweep drops a full table's records, as after a burst, and
-// reports the longest that one call held the guard's mutex for it.
+// BenchmarkRecordsSweep drops the records of a full table, as after a burst, and
+// reports the longest time that one call held the guard's mutex.
 func BenchmarkRecordsSweep(b *testing.B) {
 	for b.Loop() {
 		table := NewTable(1)
@@ -81,7 +82,7 @@
 			table.Finish(id, &Answer{}, 0)
 		}
 		worst, calls := time.Duration(0), 0
-		for now := keep + time.Second; len(table.records) > 0; calls++ {
+		for now := retention + time.Second; len(table.records) > 0; calls++ {
 			start := time.Now()
 			table.Check(Claim{ID: "x", Incarnation: 1}, now)
 			worst = max(worst, time.Since(start))
--- a/internal/attempt/sweep.go
+++ b/internal/attempt/sweep.go
@@ -6,13 +6,13 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// sweepStep is how many records one call drops at most. A look through all
-// records at a time would hold the guard's mutex for milliseconds, and every request of
-// the node with it. Each call adds at most one record, so a few keep up.
-const sweepStep = 16
+// sweepLimit is the most records that one call drops. A scan of all records would hold
+// the guard's mutex for milliseconds and block every request of the node. Each call
+// adds at most one record, so dropping a few per call is enough.
+const sweepLimit = 16
 
-// aging holds the records that have ended, the one that changed first in front.
-// Records of one class are kept equally long, so none behind the first is due before it.
+// aging is a list of the records that have ended, ordered by their last change.
+// Records of one class are kept equally long, so the first one is due first.
 type aging struct{ first, last *record }
 
 func (a *aging) add(r *record) {
@@ -31,27 +31,26 @@
 	}
 }
 
-// ended notes a record that won't change any more, so that it is dropped in time.
+// ended adds a record that won't change any more to the list for dropping.
 func (t *Table) ended(id string, r *record) {
 	r.id = id
 	t.aging[ClassOf(id)].add(r)
 }
 
-// sweep drops a few records that are older than they must be kept. Those that are
-// left for later calls only remember longer.
+// sweep drops a few expired records. Keeping the others until later calls is safe.
 func (t *Table) sweep(now time.Duration) {
-	left := sweepStep
+	remaining := sweepLimit
 	for class := range t.aging {
-		a, keep := &t.aging[class], t.keepFor(Class(class))
-		for a.first != nil && left > 0 && now-a.first.changed > keep {
+		a, keep := &t.aging[class], t.retentionOf(Class(class))
+		for a.first != nil && remaining > 0 && now-a.first.changed > keep {
 			t.forget(a.first)
 			a.drop()
-			left--
+			remaining--
 		}
 	}
 }
 
-// sweepAll drops all of them. It is for a process that stops.
+// sweepAll drops all expired records. It is for a stopping process.
 func (t *Table) sweepAll(now time.Duration) {
 	for before := -1; before != len(t.records); {
 		before = len(t.records)
@@ -66,20 +65,20 @@
 	delete(t.records, r.id)
 }
 
-// hasEnded is the channel of every record that has ended: one of its own would be
-// a third of what a record takes.
-var hasEnded = func() chan struct{} {
+// closedChannel is shared by all records that have ended: a channel for each would be
+// a third of a record's memory.
+var closedChannel = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// end is the last change of a record.
+// end makes the last change of a record.
 func (t *Table) end(id string, r *record, state wire.AttemptState, now time.Duration) {
 	r.state, r.changed = state, now
 	if r.done != nil {
 		close(r.done)
 	}
-	r.done = hasEnded
+	r.done = closedChannel
 	t.ended(id, r)
 }
--- a/internal/guard/conn.go
+++ b/internal/guard/conn.go
@@ -11,27 +11,29 @@
 )
 
 var (
-	// errRevoked is a write that came after its permit had ended.
-	errRevoked = eris.New("the request may not be sent any more")
-	// errDead is a write to a process that is known to have ended.
-	errDead = eris.New("the backend server's process has ended")
+	// errRevoked is returned by a write after its permit was revoked or its deadline
+	// passed.
+	errRevoked = eris.New("the request's deadline has passed or it was cancelled before sending")
+	// errProcessEnded is returned by a write to a process that is known to have ended.
+	errProcessEnded = eris.New("the backend server's process has ended")
 )
 
-// permit lets one request's first byte out to the backend server, or proves
-// that none went. It guards against a process frozen between its last check of
-// the deadline and the write, which would run stale work when it wakes: the
-// deadline is read again by the write itself. Safe for concurrent use.
+// permit controls whether the first byte of a request is sent to the backend server,
+// or proves that none was sent. It guards against a process that is frozen between its
+// last check of the deadline and the write, and would run an expired request when it
+// resumes: the write itself checks the deadline again. Safe for concurrent use.
 type permit struct {
 	deadline time.Time
 	mu       sync.Mutex
 	sent     bool
 	revoked  bool
-	// generation is that of the connection the request was sent on.
+	// generation is the generation of the connection that the request was sent on.
 	generation uint64
 }
 
-// use is asked before every write; the first one decides.
-func (p *permit) use(c *backendConn) error {
+// authorize is called before every write. The first call decides whether the request
+// is sent.
+func (p *permit) authorize(c *backendConn) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.sent {
@@ -43,20 +45,21 @@
 	}
 	if c.dead() {
 		p.revoked = true
-		return errDead
+		return errProcessEnded
 	}
 	p.sent, p.generation = true, c.generation
 	return nil
 }
 
-// sentIn gives the generation of the backend server that the request went to.
-func (p *permit) sentIn() uint64 {
+// sentGeneration returns the generation of the backend server that the request was
+// sent to.
+func (p *permit) sentGeneration() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.generation
 }
 
-// revoke ends the permit. It returns true if no byte has gone and none will.
+// revoke ends the permit. It returns true if no byte has been sent and none will be.
 func (p *permit) revoke() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,15 +70,15 @@
 	return true
 }
 
-// passed compares by the monotonic clock, which stands still while a VM is
-// suspended, and by the wall clock, which a step may move. Either one past
-// the deadline refuses, which is always safe.
+// passed reports whether the deadline has passed by the monotonic clock or by the wall
+// clock. The monotonic clock stops while a VM is suspended, and the wall clock may be
+// set. Refusing when either is past the deadline is always safe.
 func passed(deadline, now time.Time) bool {
 	return now.After(deadline) || now.Round(0).After(deadline.Round(0))
 }
 
-// backendConn is a connection to the backend server whose writes need the
-// permit of the request that uses it.
+// backendConn is a connection to the backend server. Its writes need the permit of the
+// request that uses it.
 type backendConn struct {
 	net.Conn
 	deaths *deaths
@@ -85,32 +88,33 @@
 	permit     *permit
 }
 
-// dead says that the process at the other end has ended. Its end may show on
-// the connection only after a write: a request sent then would look like one
-// that was in flight, and be blamed for the death.
+// dead reports whether the process at the other end has ended. The connection itself
+// may report that only after a write. A request sent then would count as in flight at
+// the death and be blamed for it.
 func (c *backendConn) dead() bool { return c.deaths.generation() != c.generation }
 
-// Write writes under the permit of the current request.
+// Write writes b if the permit of the current request allows it.
 func (c *backendConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	p := c.permit
 	c.mu.Unlock()
 	if p != nil {
-		if err := p.use(c); err != nil {
+		if err := p.authorize(c); err != nil {
 			return 0, err
 		}
 	}
 	return c.Conn.Write(b)
 }
 
-func (c *backendConn) set(p *permit) {
+func (c *backendConn) setPermit(p *permit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.permit = p
 }
 
-// dial opens a connection whose writes can be permitted. The generation is read
-// first: a process that takes the connection can't have ended before.
+// dial opens a connection whose writes are controlled by permits. The generation is
+// read before the connection is opened, so the process that accepts it can't have
+// ended earlier.
 func (d *deaths) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	generation := d.generation()
 	var dialer net.Dialer
@@ -121,13 +125,13 @@
 	return &backendConn{Conn: conn, deaths: d, generation: generation}, nil
 }
 
-// withPermit makes the transport put the request's permit on whichever
-// connection it takes, new or kept.
+// withPermit makes the transport set the request's permit on the connection it uses,
+// whether new or reused.
 func withPermit(ctx context.Context, p *permit) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if c, ok := info.Conn.(*backendConn); ok {
-				c.set(p)
+				c.setPermit(p)
 			}
 		},
 	})
--- a/internal/guard/conn_test.go
+++ b/internal/guard/conn_test.go
@@ -18,10 +18,10 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// A guard records a payout and is frozen before the first byte goes out. It
-// wakes after the deadline, when the driver has long been told "unknown" and
-// finance has paid by hand. The write itself must notice.
-func TestNoFirstByteAfterTheDeadline(t *testing.T) {
+// A guard records a payout and is frozen before the first byte is sent. It resumes
+// after the deadline, when the caller has already got "unknown" and the payout was
+// made by hand. The write itself must check the deadline.
+func TestNoFirstByteAfterDeadline(t *testing.T) {
 	now := time.Now()
 	cases := []struct {
 		name     string
@@ -31,7 +31,7 @@
 	}{
 		{"in time", now.Add(time.Hour), false, nil},
 		{"late", now.Add(-time.Millisecond), false, errRevoked},
-		{"given up before the write", now.Add(time.Hour), true, errRevoked},
+		{"revoked before the write", now.Add(time.Hour), true, errRevoked},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -43,17 +43,17 @@
 				require.True(t, p.revoke())
 			}
 			conn := &backendConn{Conn: near, deaths: &deaths{}}
-			conn.set(p)
+			conn.setPermit(p)
 			_, err := conn.Write([]byte("x"))
 			require.Equal(t, c.want, err)
-			require.Equal(t, c.want != nil, p.revoke(), "only a byte that went out leaves the outcome open")
+			require.Equal(t, c.want != nil, p.revoke(), "only a byte that was sent leaves the outcome unknown")
 		})
 	}
 }
 
-// A VM is suspended, and its monotonic clock with it: only the wall clock shows
-// that the deadline has passed.
-func TestADeadlinePassesByEitherClock(t *testing.T) {
+// While a VM is suspended its monotonic clock stops: only the wall clock shows that
+// the deadline has passed.
+func TestDeadlinePassesByEitherClock(t *testing.T) {
 	now := time.Now()
 	require.False(t, passed(now.Add(time.Second), now))
 	require.True(t, passed(now.Add(-time.Second), now))
@@ -61,7 +61,7 @@
 	require.True(t, passed(jumped, now.Round(0).Add(time.Hour)))
 }
 
-func guardFor(t *testing.T, backend string) *Guard {
+func newGuardForURL(t *testing.T, backend string) *Guard {
 	base, err := url.Parse(backend)
 	require.NoError(t, err)
 	start := time.Now()
@@ -70,7 +70,7 @@
 	return g
 }
 
-func (g *Guard) try(t *testing.T, id string) (*http.Response, string) {
+func (g *Guard) runAttempt(t *testing.T, id string) (*http.Response, string) {
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/pay", http.NoBody)
 	r.Header.Set(headers.Attempt, id)
 	r.Header.Set(headers.Incarnation, "1")
@@ -79,28 +79,28 @@
 	c := claimOf(r, id)
 	v, _ := g.begin(c)
 	require.Equal(t, attempt.Start, v)
-	resp, e := g.detach(r, c, time.Now().Add(time.Minute), visit{leave: func() {}})
+	resp, e := g.detach(r, c, time.Now().Add(time.Minute), execution{leave: func() {}})
 	if e != nil {
 		return nil, string(e.Kind) + " " + string(e.Said())
 	}
 	return resp, ""
 }
 
-// The backend server isn't there. Nothing was sent, so the attempt is sealed,
-// and a question about it later must get the same answer as its caller.
-func TestWhatWasNeverSentIsSealed(t *testing.T) {
-	gone := httptest.NewServer(nil)
-	gone.Close()
-	g := guardFor(t, gone.URL)
-	_, said := g.try(t, "a")
+// The backend server isn't reachable. Nothing was sent, so the attempt is sealed, and
+// a later query must return the same outcome that the caller got.
+func TestUnsentAttemptIsSealed(t *testing.T) {
+	closed := httptest.NewServer(nil)
+	closed.Close()
+	g := newGuardForURL(t, closed.URL)
+	_, said := g.runAttempt(t, "a")
 	require.Equal(t, "unreachable not-run", said)
 	reply := g.Seal(&wire.Seal{Attempt: "a", Incarnation: 1, AskOnly: true})
 	require.Equal(t, wire.AttemptSealed, reply.State)
 }
 
-// The entry's connection goes away while a booking runs. The run goes on, and
-// its answer is there for whoever asks by its id, and only from this incarnation.
-func TestARunOutlivesItsEntry(t *testing.T) {
+// The entry's connection is closed while a booking runs. The run continues, and its
+// answer can be collected by its id, from this incarnation only.
+func TestRunContinuesAfterEntryDisconnects(t *testing.T) {
 	release := make(chan struct{})
 	var runs atomic.Int32
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -109,14 +109,14 @@
 		_, _ = w.Write([]byte("booked"))
 	}))
 	defer backend.Close()
-	g := guardFor(t, backend.URL)
+	g := newGuardForURL(t, backend.URL)
 	ctx, cancel := context.WithCancel(t.Context())
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "/book", http.NoBody)
 	c := attempt.Claim{ID: "b", Incarnation: 1}
 	v, _ := g.begin(c)
 	require.Equal(t, attempt.Start, v)
 	cancel()
-	_, e := g.detach(r, c, time.Now().Add(time.Minute), visit{leave: func() {}})
+	_, e := g.detach(r, c, time.Now().Add(time.Minute), execution{leave: func() {}})
 	require.NotNil(t, e)
 	close(release)
 	for _, incarnation := range []string{"1", "2"} {
--- a/internal/guard/death.go
+++ b/internal/guard/death.go
@@ -15,36 +15,36 @@
 	"github.com/limpetdock/limpetdock/internal/kind"
 )
 
-// deathProbe bounds the look whether a backend server still listens.
-const deathProbe = 200 * time.Millisecond
+// probeTimeout bounds the check whether a backend server still listens.
+const probeTimeout = 200 * time.Millisecond
 
-// deaths counts the ends of the backend server's process. A connection belongs
-// to the generation that it was opened in, and ends with that generation's
-// process: so all requests that were in flight at a death name the same one,
-// and none that came later does. Safe for concurrent use.
+// deaths counts how often the backend server's process has ended. A connection belongs
+// to the generation it was opened in and ends with that generation's process. So all
+// requests in flight at a death report the same death, and no later request does. Safe
+// for concurrent use.
 type deaths struct{ count atomic.Uint64 }
 
-// generation gives the number of deaths so far.
+// generation returns the number of deaths so far.
 func (d *deaths) generation() uint64 { return d.count.Load() }
 
-// end notes that the process of a generation has ended; news says that nobody
-// had noticed before.
-func (d *deaths) end(generation uint64) (news bool) {
+// end records that the process of a generation has ended. It returns true for the
+// first caller that reports this death.
+func (d *deaths) end(generation uint64) (first bool) {
 	return d.count.CompareAndSwap(generation, generation+1)
 }
 
-// brokenOff tells a backend server that died from one that only broke off an
-// exchange: a dead one no longer listens. A server restarted within the probe
-// is taken for alive unless another request has noticed its death, which costs
-// one missed suspicion and no wrong one.
-func (g *Guard) brokenOff(p *permit, cause error) *kind.Error {
-	generation := p.sentIn()
+// connectionError distinguishes a backend server that died from one that only closed
+// the connection: a dead one no longer listens. A server that is restarted before the
+// probe is classified as alive unless another request has noticed its death. That
+// misses a suspicion but never raises a wrong one.
+func (g *Guard) connectionError(p *permit, cause error) *kind.Error {
+	generation := p.sentGeneration()
 	if g.deaths.generation() == generation {
 		if e := g.probe(cause); e != nil {
 			return e
 		}
 		if g.deaths.end(generation) {
-			// What is kept leads to the dead process.
+			// The idle connections lead to the dead process.
 			g.transport.CloseIdleConnections()
 		}
 	}
@@ -53,23 +53,23 @@
 	return e
 }
 
-// probe looks whether the backend server listens. It returns nil if it doesn't.
+// probe checks whether the backend server listens. It returns nil if it doesn't.
 func (g *Guard) probe(cause error) *kind.Error {
-	ctx, cancel := context.WithTimeout(context.Background(), deathProbe)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", g.backend.Host)
 	if err == nil {
 		_ = conn.Close()
-		return kind.New(kind.BackendBroken, "the backend server broke off the exchange").Because(cause)
+		return kind.New(kind.BackendBroken, "the backend server closed the connection before the answer was complete").Because(cause)
 	}
 	if ctx.Err() != nil {
-		return kind.New(kind.BackendBroken, "the backend server doesn't answer").Because(cause)
+		return kind.New(kind.BackendBroken, "the backend server closed the connection and did not accept a new one in time").Because(cause)
 	}
 	return nil
 }
 
-// deathID names a death so that no two of any nodes are the same.
+// deathID returns an id for a death that is unique among all nodes.
 func (g *Guard) deathID(number uint64) uint64 {
 	var b [16]byte
 	binary.BigEndian.PutUint64(b[:8], g.incarnation)
@@ -77,8 +77,9 @@
 	return xxhash.Sum64(b[:])
 }
 
-// tellDeath adds to a refusal what the entry needs to note a suspect.
-func tellDeath(h http.Header, e *kind.Error) {
+// addDeathHeaders adds the headers that the entry needs to record a suspect to a
+// refusal.
+func addDeathHeaders(h http.Header, e *kind.Error) {
 	if e.Death == 0 {
 		return
 	}
--- a/internal/guard/death_test.go
+++ b/internal/guard/death_test.go
@@ -22,14 +22,14 @@
 const (
 	crashPath = "/crash"
 	readPath  = "/week"
-	// pairPath is answered once two requests for it are there.
+	// pairPath is answered once two requests for it are present.
 	pairPath = "/pair"
 )
 
-// mortal is a backend server that dies when it is asked for crashPath. Its
-// idle connections are closed only when something is written to them, as the
-// news of their end may come late.
-type mortal struct {
+// crashingBackend is a backend server that dies on a request for crashPath. Its idle
+// connections are closed only when something is written to them, since the end of a
+// process may become visible late.
+type crashingBackend struct {
 	addr string
 	pair chan struct{}
 	mu   sync.Mutex
@@ -37,15 +37,15 @@
 	dead bool
 }
 
-func startMortal(t *testing.T) *mortal {
+func startCrashingBackend(t *testing.T) *crashingBackend {
 	t.Helper()
-	m := &mortal{pair: make(chan struct{})}
+	m := &crashingBackend{pair: make(chan struct{})}
 	m.restart(t)
 	t.Cleanup(func() { _ = m.l.Close() })
 	return m
 }
 
-func (m *mortal) restart(t *testing.T) {
+func (m *crashingBackend) restart(t *testing.T) {
 	t.Helper()
 	addr := m.addr
 	if addr == "" {
@@ -59,7 +59,7 @@
 	go m.accept(l)
 }
 
-func (m *mortal) accept(l net.Listener) {
+func (m *crashingBackend) accept(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-func (m *mortal) serve(conn net.Conn, l net.Listener) {
+func (m *crashingBackend) serve(conn net.Conn, l net.Listener) {
 	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	for {
@@ -77,7 +77,7 @@
 		if err != nil {
 			return
 		}
-		if m.dies(req.URL.Path, l) {
+		if m.handleCrash(req.URL.Path, l) {
 			return
 		}
 		if req.URL.Path == pairPath {
@@ -92,8 +92,9 @@
 	}
 }
 
-// dies says whether the process that listened at l is dead.
-func (m *mortal) dies(path string, l net.Listener) bool {
+// handleCrash simulates the crash on a request for crashPath and reports whether the
+// process that listened at l is dead.
+func (m *crashingBackend) handleCrash(path string, l net.Listener) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if path == crashPath {
@@ -103,7 +104,7 @@
 	return m.dead
 }
 
-func guardOf(t *testing.T, m *mortal) *Guard {
+func newGuardFor(t *testing.T, m *crashingBackend) *Guard {
 	t.Helper()
 	f := fleet.Fleet{
 		Name: "test", Revision: 1, Teams: []fleet.Team{{Name: "team"}}, Zones: []fleet.Zone{{Name: "z", Region: "r"}},
@@ -121,7 +122,7 @@
 	return g
 }
 
-// read sends a read and gives the refusal, or nil if it was answered.
+// read sends a read and returns the refusal, or nil if it was answered.
 func read(t *testing.T, g *Guard, path string, suspect bool) *kind.Error {
 	t.Helper()
 	r := httptest.NewRequestWithContext(t.Context(), http.MethodGet, path, http.NoBody)
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// keepTwo makes the guard keep two connections.
-func keepTwo(t *testing.T, g *Guard) {
+// openTwoConnections leaves the guard with two idle connections.
+func openTwoConnections(t *testing.T, g *Guard) {
 	t.Helper()
 	var pair sync.WaitGroup
 	for range 2 {
@@ -153,15 +154,15 @@
 	pair.Wait()
 }
 
-// A read was in flight beside the one that kills; both are suspects and go on to
-// the same next target. The killing read dies there alone. The other one, which
-// has waited for its turn, goes out on a kept connection of the dead server,
-// and its caller is told that requests like it crash servers. It never ran
-// there: the death came before it, and blaming it blocks innocent reads.
-func TestADeathIsNotBlamedOnWhatCameAfterIt(t *testing.T) {
-	m := startMortal(t)
-	g := guardOf(t, m)
-	keepTwo(t, g)
+// A read was in flight together with the one that crashes the server. Both are
+// suspects and go to the same next target, where the crashing read runs alone and
+// crashes it. The other one, which waited for its turn, would be sent on an idle
+// connection of the dead server. It never ran there, so blaming it for the death would
+// block innocent reads.
+func TestDeathIsNotBlamedOnLaterRequest(t *testing.T) {
+	m := startCrashingBackend(t)
+	g := newGuardFor(t, m)
+	openTwoConnections(t, g)
 	require.True(t, g.isolation.join(t.Context()))
 	killer, bystander := make(chan *kind.Error), make(chan *kind.Error)
 	go func() { killer <- read(t, g, crashPath, true) }()
@@ -180,12 +181,12 @@
 	require.Zero(t, late.Death)
 }
 
-// The platform starts the dead server anew, and the first request there is the
-// killing read again: it is a second death, though nothing has been answered
-// since the first. Two deaths that look like one would never block it.
-func TestADeathBeforeAnyAnswerCounts(t *testing.T) {
-	m := startMortal(t)
-	g := guardOf(t, m)
+// The dead server is restarted, and its first request is the crashing read again. That
+// is a second death, though nothing was answered since the first. If both deaths had
+// the same id, the read would never be blocked.
+func TestDeathBeforeFirstAnswerIsCounted(t *testing.T) {
+	m := startCrashingBackend(t)
+	g := newGuardFor(t, m)
 	first := read(t, g, crashPath, true)
 	m.restart(t)
 	second := read(t, g, crashPath, true)
@@ -193,15 +194,15 @@
 	require.NotEqual(t, first.Death, second.Death)
 }
 
-// A suspect that has run for long goes on in company. If the server dies then,
-// nobody can tell whose doing it was.
-func TestASuspectInCompanyDidNotDieAlone(t *testing.T) {
+// A suspect that exceeds maxIsolation continues alongside other requests. If the
+// server dies then, the cause can't be determined.
+func TestSuspectPastIsolationLimitIsNotAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var i isolation
 		v, ok := i.enter(t.Context(), true)
 		require.True(t, ok)
 		require.True(t, v.alone())
-		time.Sleep(2 * aloneFor)
+		time.Sleep(2 * maxIsolation)
 		require.False(t, v.alone())
 		v.leave()
 	})
--- a/internal/guard/fence.go
+++ b/internal/guard/fence.go
@@ -13,42 +13,43 @@
 )
 
 const (
-	// fenceWait is how long a request waits for the guard to catch up with the
-	// configuration it was routed under. Fetching that takes two round trips.
-	fenceWait = 300 * time.Millisecond
-	// fenceRoom bounds the requests that wait at a time.
-	fenceRoom = 256
-	// fenceRetry is the hint to a caller that is refused: by then every node
-	// that can hear of the new configuration has.
-	fenceRetry = time.Second
+	// configWait is how long a request waits until the guard has the configuration it
+	// was routed under. Fetching that needs two round trips.
+	configWait = 300 * time.Millisecond
+	// maxConfigWaiters bounds the requests that wait at a time.
+	maxConfigWaiters = 256
+	// staleRetryAfter is the Retry-After hint of a refusal. By then every reachable node
+	// has received the new configuration.
+	staleRetryAfter = time.Second
 )
 
-// fence keeps requests out that were routed under another document of the
-// service than the guard's. Without it a guard and an entry that lag behind one
-// another could run an at-most-once route as idempotent, or find two homes for
-// one key: the caller would see a booking run twice.
+// fence refuses requests that were routed under another document of the service than
+// the guard's. Without it, while the guard's and an entry's configurations differ, an
+// at-most-once route could run as idempotent or a key could have two homes, and a
+// caller's booking could run twice.
 type fence struct {
-	// behind tells the control side of a node with a newer configuration.
-	behind  atomic.Pointer[func(vm string)]
+	// onStale notifies the control loop of a node with a newer configuration.
+	onStale atomic.Pointer[func(vm string)]
 	waiting atomic.Int32
 }
 
-// OnBehind sets what is called, without waiting, when a request shows that the
-// node on a VM has a newer configuration in force.
-func (g *Guard) OnBehind(f func(vm string)) { g.fence.behind.Store(&f) }
+// OnStaleConfig sets the function that is called when a request shows that the node on
+// a VM has a newer configuration in force. The function must not block.
+func (g *Guard) OnBehind(f func(vm string)) { g.fence.onStale.Store(&f) }
 
-// fenced gives the View under which the request may run. A guard with a newer
-// configuration than the request's refuses it; one with an older catches up
-// first, and refuses what that takes too long for. A request without a stamp
-// names no configuration and is checked against the guard's own alone.
-func (g *Guard) fenced(r *http.Request, v *pick.View) (*pick.View, *kind.Error) {
+// checkConfig returns the View under which the request may run. If the guard's
+// configuration is newer than the request's, it refuses the request. If it is older,
+// it waits up to configWait for the newer one and refuses the request if that doesn't
+// arrive. A request without a stamp is checked against the guard's own configuration
+// only.
+func (g *Guard) checkConfig(r *http.Request, v *pick.View) (*pick.View, *kind.Error) {
 	text := r.Header.Get(headers.Config)
 	if text == "" || sameDocument(v, r, text) {
 		return v, nil
 	}
 	stamp, ok := config.ParseStamp(text)
 	if !ok {
-		return nil, kind.New(kind.StaleConfig, "the request's configuration can't be read")
+		return nil, kind.New(kind.StaleConfig, "the request's configuration stamp can't be parsed")
 	}
 	if stamp.Newer(v.Config) {
 		v = g.catchUp(r, stamp, v)
@@ -58,11 +59,11 @@
 	}
 	e := kind.New(kind.StaleConfig, "routed under revision %d, while %d is in force here",
 		stamp.Version.Revision, v.Config.Index.Version.Revision)
-	e.RetryAfter = fenceRetry
+	e.RetryAfter = staleRetryAfter
 	return nil, e
 }
 
-// sameDocument says whether the guard has the document that a stamp starts with.
+// sameDocument reports whether the guard has the document that a stamp starts with.
 func sameDocument(v *pick.View, r *http.Request, stamp string) bool {
 	svc := v.Config.Services[r.Header.Get(headers.Service)]
 	if svc == nil {
@@ -72,17 +73,18 @@
 	return len(stamp) >= len(tag) && stamp[:len(tag)] == tag
 }
 
-// catchUp waits a little for a configuration as new as the stamp's.
+// catchUp waits up to configWait for a configuration as new as the stamp's. It returns
+// v if none arrives.
 func (g *Guard) catchUp(r *http.Request, stamp config.Stamp, v *pick.View) *pick.View {
-	if f := g.fence.behind.Load(); f != nil {
+	if f := g.fence.onStale.Load(); f != nil {
 		(*f)(stamp.VM)
 	}
-	if g.fence.waiting.Add(1) > fenceRoom {
+	if g.fence.waiting.Add(1) > maxConfigWaiters {
 		g.fence.waiting.Add(-1)
 		return v
 	}
 	defer g.fence.waiting.Add(-1)
-	ctx, cancel := context.WithTimeout(r.Context(), min(fenceWait, timeLeft(r)))
+	ctx, cancel := context.WithTimeout(r.Context(), min(configWait, remainingTime(r)))
 	defer cancel()
 	if next := g.view.Wait(ctx, func(v *pick.View) bool { return !stamp.Newer(v.Config) }); next != nil {
 		return next
--- a/internal/guard/fence_test.go
+++ b/internal/guard/fence_test.go
@@ -17,7 +17,7 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// viewOf gives a View of a revision whose service s has a queue of a length.
+// viewOf returns a View of a revision whose service s has a queue of a length.
 func viewOf(t *testing.T, revision uint64, queue int) *pick.View {
 	f := fleet.Fleet{
 		Name: "test", Revision: revision, Teams: []fleet.Team{{Name: "team"}}, Zones: []fleet.Zone{{Name: "z", Region: "r"}},
@@ -29,7 +29,7 @@
 	return viewFor(t, f)
 }
 
-// viewFor gives the View of a fleet at vm1.
+// viewFor returns the View of a fleet at vm1.
 func viewFor(t *testing.T, f fleet.Fleet) *pick.View {
 	t.Helper()
 	pub, err := f.Print()
@@ -41,19 +41,19 @@
 	return &pick.View{Config: c, Here: pick.Place{VM: "vm1", Zone: "z", Region: "r"}}
 }
 
-// An entry and a guard lag behind one another while a change spreads. A request
-// routed under another document of its service must not run: under the other
-// rules it might be a repeatable one, or its key live elsewhere, and a booking
-// would run twice. The caller must not see the lag either while it is short.
-func TestTheFence(t *testing.T) {
+// While a change spreads, an entry and a guard may have different configurations. A
+// request routed under another document of its service must not run: under the other
+// rules its route might be idempotent or its key might have another home, and a
+// booking would run twice. A short difference must not be visible to the caller.
+func TestRequestsUnderAnotherConfigAreRefused(t *testing.T) {
 	cases := []struct {
 		name string
-		// here and there are revision and queue at the guard and at the entry;
-		// later is what the guard gets 100 ms after the request.
+		// here and there are the revision and the queue length at the guard and at the
+		// entry; later is what the guard receives 100 ms after the request.
 		here, there, later [2]int
 		stamp              string
 		refused            bool
-		tells              bool
+		notifies           bool
 		waits              time.Duration
 	}{
 		{name: "the same", here: [2]int{3, 7}, there: [2]int{3, 7}},
@@ -61,24 +61,24 @@
 		{name: "the entry is older", here: [2]int{4, 8}, there: [2]int{3, 7}, refused: true},
 		{
 			name: "the entry is newer, and the guard catches up", here: [2]int{3, 7}, there: [2]int{4, 8}, later: [2]int{4, 8},
-			tells: true, waits: 100 * time.Millisecond,
+			notifies: true, waits: 100 * time.Millisecond,
 		},
 		{
 			name: "the entry is newer, and the guard goes past it", here: [2]int{3, 7}, there: [2]int{4, 8}, later: [2]int{5, 9},
-			tells: true, waits: 100 * time.Millisecond, refused: true,
+			notifies: true, waits: 100 * time.Millisecond, refused: true,
 		},
 		{
 			name: "the entry is newer, and the guard can't catch up", here: [2]int{3, 7}, there: [2]int{4, 8},
-			tells: true, waits: fenceWait, refused: true,
+			notifies: true, waits: configWait, refused: true,
 		},
-		{name: "a stamp that can't be read", here: [2]int{3, 7}, there: [2]int{3, 8}, stamp: "4", refused: true},
+		{name: "a stamp that can't be parsed", here: [2]int{3, 7}, there: [2]int{3, 8}, stamp: "4", refused: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := New(&url.URL{}, 1, func() time.Duration { return 0 })
-				var told []string
-				g.OnBehind(func(vm string) { told = append(told, vm) })
+				var notified []string
+				g.OnBehind(func(vm string) { notified = append(notified, vm) })
 				here, there := viewOf(t, uint64(c.here[0]), c.here[1]), viewOf(t, uint64(c.there[0]), c.there[1])
 				g.view.Store(here)
 				if c.later != [2]int{} {
@@ -93,11 +93,11 @@
 				}
 				r.Header.Set(headers.Config, c.stamp)
 				start := time.Now()
-				v, e := g.fenced(r, here)
+				v, e := g.checkConfig(r, here)
 				require.Equal(t, c.waits, time.Since(start))
-				require.Equal(t, c.tells, len(told) == 1)
-				if c.tells {
-					require.Equal(t, "vm9", told[0])
+				require.Equal(t, c.notifies, len(notified) == 1)
+				if c.notifies {
+					require.Equal(t, "vm9", notified[0])
 				}
 				if c.refused {
 					require.Equal(t, kind.StaleConfig, e.Kind)
@@ -111,8 +111,8 @@
 	}
 }
 
-// The fence must stand on the way of every request that could run.
-func TestAFencedRequestIsRefusedAtTheDoor(t *testing.T) {
+// Every path that can run a request must check its configuration.
+func TestAdmitChecksConfig(t *testing.T) {
 	g := New(&url.URL{}, 1, func() time.Duration { return 0 })
 	g.SetView(viewOf(t, 4, 8))
 	old := viewOf(t, 3, 7)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,6 +1,6 @@
-// Package guard owns the truth about one backend server: only it decides that
-// a request runs there. It takes requests from entries, over HTTP or from the
-// entry of its own node, and hands them to the backend server.
+// Package guard implements admission to one backend server: only the guard decides
+// that a request runs there. It accepts requests from entries, over HTTP or from the
+// entry of its own node, and forwards them to the backend server.
 package guard
 
 import (
@@ -22,9 +22,9 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// Guard is the guard role of a node. It is an http.RoundTripper, so that the
-// node's own entry uses it without a network hop, and an http.Handler for the
-// other entries. Safe for concurrent use.
+// Guard is the guard role of a node. It is an http.RoundTripper, so that the node's
+// own entry uses it without a network hop, and an http.Handler for the other entries.
+// Safe for concurrent use.
 type Guard struct {
 	backend     *url.URL
 	transport   *http.Transport
@@ -38,23 +38,23 @@
 	attempts    *attempt.Table
 	// vm and addr are the VM's own name and address, or empty.
 	vm, addr string
-	// listed is when the platform last showed this VM, since the node's start,
-	// listedAt the same by the wall clock, and listedAddr the address.
+	// listed is when the platform last listed this VM, since the node's start, listedAt
+	// the same time on the wall clock, and listedAddr the address.
 	listed     time.Duration
 	listedAt   time.Time
 	listedAddr string
-	// keyed says that the rules for callers' own keys are known.
-	keyed     bool
-	running   sync.WaitGroup
-	isolation isolation
-	deaths    deaths
-	reporter  reporter
-	// Counters count what was decided about attempts.
+	// hasKeyRules is true once the rules for callers' own keys are known.
+	hasKeyRules bool
+	running     sync.WaitGroup
+	isolation   isolation
+	deaths      deaths
+	reporter    reporter
+	// Counters counts the guard's decisions about attempts.
 	Counters Counters
 }
 
-// New returns the guard of the backend server at base. now gives the time
-// since the node's start, of a monotonic clock.
+// New returns the guard of the backend server at base. now returns the time since the
+// node's start on a monotonic clock.
 func New(base *url.URL, incarnation uint64, now func() time.Duration) *Guard {
 	g := &Guard{
 		backend:     base,
@@ -74,14 +74,14 @@
 	}
 }
 
-// SetAddr tells the VM's own address, as the platform should list it. It must
-// be called before the first View.
+// SetAddr sets the VM's own address, as the platform should list it. It must be called
+// before the first View is set.
 func (g *Guard) SetAddr(ip string) { g.addr = ip }
 
-// SetVM tells the VM's name, for news that come before the first View.
+// SetVM sets the VM's name, for updates that arrive before the first View.
 func (g *Guard) SetVM(vm string) { g.vm = vm }
 
-// SetView puts a new View in force and with it the declared limits.
+// SetView applies a new View and its declared limits.
 func (g *Guard) SetView(v *pick.View) {
 	g.view.Store(v)
 	g.reporter.setView(v)
@@ -94,22 +94,22 @@
 	g.setKeys(svc, v.Here.VM)
 }
 
-// SetLeaving makes the guard refuse new work, or take it again.
+// SetLeaving makes the guard refuse new requests, or accept them again.
 func (g *Guard) SetLeaving(leaving bool) { g.leaving.Store(leaving) }
 
-// Tick gives the guard's coarse tick.
+// Tick returns the guard's coarse tick.
 func (g *Guard) Tick() uint64 { return attempt.Tick(g.now()) }
 
-// Load gives the load of the backend server as the guard counts it.
+// Load returns the load of the backend server as counted by the guard.
 func (g *Guard) Load() gate.Load { return g.gate.Load() }
 
-// Wait returns once no request runs any more.
+// Wait blocks until no request is running.
 func (g *Guard) Wait() { g.running.Wait() }
 
-// Close drops the idle connections to the backend server.
+// Close closes the idle connections to the backend server.
 func (g *Guard) Close() { g.transport.CloseIdleConnections() }
 
-// ServeHTTP takes a request from another node's entry.
+// ServeHTTP handles a request from another node's entry.
 func (g *Guard) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := g.now()
 	resp, err := g.RoundTrip(r)
@@ -120,17 +120,18 @@
 	defer func() { _ = resp.Body.Close() }()
 	headers.Copy(w.Header(), resp.Header)
 	g.addLoad(w.Header(), r, arrived)
-	// The entry checks that this is the answer to what it sent on the connection.
+	// The entry checks that this answers the request it sent on the connection.
 	w.Header().Set(headers.Exchange, exchangeOf(r))
 	w.WriteHeader(resp.StatusCode)
 	if _, err := io.Copy(w, resp.Body); err != nil {
-		// A cut answer must look cut: the connection is aborted, not ended.
+		// A truncated answer must be detectable: the connection is aborted, not closed
+		// normally.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// RoundTrip runs a request, or refuses it with an answer made by the system.
-// The error is always nil; trouble is told by answers with a kind.
+// RoundTrip runs a request, or refuses it with an answer made by the guard. The error
+// is always nil; failures are reported as answers with a kind.
 func (g *Guard) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, e := g.run(r)
 	if e != nil {
@@ -149,7 +150,7 @@
 	return g.runIdempotent(r)
 }
 
-// exchangeOf gives the name under which an entry sent a request.
+// exchangeOf returns the id under which an entry sent a request.
 func exchangeOf(r *http.Request) string {
 	for _, name := range []string{headers.Collect, headers.Attempt, headers.Exchange} {
 		if id := r.Header.Get(name); id != "" {
@@ -165,17 +166,17 @@
 		return nil, e
 	}
 	id := r.Header.Get(headers.Exchange)
-	g.arrive(id)
-	v, e := g.enter(a, r)
+	g.addPresent(id)
+	v, e := g.acquire(a, r)
 	if e != nil {
-		g.depart(id)
+		g.removePresent(id)
 		a.cancel()
 		return nil, e
 	}
 	g.running.Add(1)
 	end := func() {
 		v.leave()
-		g.depart(id)
+		g.removePresent(id)
 		a.cancel()
 		g.running.Done()
 	}
@@ -183,7 +184,7 @@
 	p := &permit{deadline: deadline}
 	resp, err := g.forward(withPermit(a.ctx, p), r)
 	if err != nil {
-		// Whoever waits to run alone next must find a death noted.
+		// A suspect that waits to run alone must start only after the death is recorded.
 		defer end()
 		if p.revoke() {
 			return nil, notSent(deadline, err)
@@ -194,28 +195,28 @@
 	return resp, nil
 }
 
-// admission is a request that the guard may take.
+// admission is a request that has passed the guard's first checks.
 type admission struct {
-	// ctx ends with the request's deadline, and cancel frees it.
+	// ctx ends at the request's deadline; cancel releases its resources.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// class is that of the request's route.
+	// class is the class of the request's route.
 	class int
 }
 
-// admit checks whether the guard may take the request at all.
+// admit checks whether the guard accepts the request.
 func (g *Guard) admit(r *http.Request) (admission, *kind.Error) {
 	v := g.view.Load()
 	if v == nil {
 		return admission{}, kind.New(kind.NotReady, "no configuration is in force yet")
 	}
 	if g.leaving.Load() {
-		return admission{}, kind.New(kind.Leaving, "the backend server is leaving")
+		return admission{}, kind.New(kind.Leaving, "the backend server is leaving the service")
 	}
 	if noRoom(r.Context()) {
-		return admission{}, kind.New(kind.Overloaded, "the connections that the target accepts are all busy")
+		return admission{}, kind.New(kind.Overloaded, "the target's connection limit is reached")
 	}
-	v, e := g.fenced(r, v)
+	v, e := g.checkConfig(r, v)
 	if e != nil {
 		return admission{}, e
 	}
@@ -238,7 +239,7 @@
 	return admission{ctx, cancel, class}, nil
 }
 
-// forward hands the request to the backend server.
+// forward sends the request to the backend server.
 func (g *Guard) forward(ctx context.Context, r *http.Request) (*http.Response, error) {
 	out := r.Clone(ctx)
 	out.URL.Scheme = g.backend.Scheme
@@ -260,34 +261,34 @@
 	return resp, nil
 }
 
-// refusal makes an answer of the system out of e, with the guard's identity,
-// so that the entry's next attempt names the right one.
+// refusal turns e into an answer with the guard's identity, so that the entry's next
+// attempt names the right incarnation and tick.
 func (g *Guard) refusal(r *http.Request, e *kind.Error) *http.Response {
 	rec := newRecorder()
 	kind.Write(rec, e)
 	rec.header.Set(headers.Incarnation, strconv.FormatUint(g.incarnation, 16))
 	rec.header.Set(headers.Tick, strconv.FormatUint(g.Tick(), 10))
-	tellDeath(rec.header, e)
+	addDeathHeaders(rec.header, e)
 	return rec.response(r)
 }
 
-// backendError tells what went wrong with a request that was sent under p.
-func (g *Guard) backendError(ctx context.Context, p *permit, v visit, err error) *kind.Error {
+// backendError classifies the failure of a request that was sent under p.
+func (g *Guard) backendError(ctx context.Context, p *permit, v execution, err error) *kind.Error {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return kind.New(kind.DeadlineUnknown, "the deadline passed while the backend server ran the request").Because(err)
 	case errors.Is(ctx.Err(), context.Canceled):
-		// Whoever cancelled doesn't wait for a look at the backend server, and
-		// what that shows wouldn't be this request's doing.
+		// The caller that cancelled doesn't wait for a probe of the backend server, and a
+		// death found by it wouldn't be caused by this request.
 		return kind.New(kind.OutcomeUnknown, "the request was cancelled").Because(err)
 	}
-	e := g.brokenOff(p, err)
+	e := g.connectionError(p, err)
 	e.Alone = e.Death != 0 && v.alone()
 	return e
 }
 
-// answerOf reads a whole answer of at most attempt.MaxAnswer bytes. For a
-// longer one it gives what was read so far and whole is false.
+// answerOf reads a complete answer of at most attempt.MaxAnswer bytes. For a longer
+// one it returns what was read so far and whole is false.
 func answerOf(resp *http.Response) (a *attempt.Answer, whole bool, err error) {
 	var buf bytes.Buffer
 	_, err = io.Copy(&buf, io.LimitReader(resp.Body, attempt.MaxAnswer+1))
--- a/internal/guard/handover.go
+++ b/internal/guard/handover.go
@@ -6,50 +6,52 @@
 	"github.com/limpetdock/limpetdock/internal/attempt"
 )
 
-// KeysToHand gives the bytes that the key table takes at most and how long a
-// peer may keep it; ok is false if this guard isn't certain to be the home.
+// KeysToHand returns the largest size of the key table in bytes and how long a peer
+// may store it. ok is false if this guard isn't certain to be the home.
 func (g *Guard) KeysToHand() (bytes int, hold time.Duration, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.sure() {
+	if !g.confirmedRecently() {
 		return 0, 0, false
 	}
-	return g.attempts.KeysToHand(g.now())
+	return g.attempts.HandoverSize(g.now())
 }
 
-// SealKeys ends the guard's time as a home, for good, and gives its key table.
+// SealKeys permanently ends this guard's role as a home of keys and returns its key
+// table.
 func (g *Guard) SealKeys() (*attempt.KeyTable, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.sure() {
+	if !g.confirmedRecently() {
 		return nil, false
 	}
 	return g.attempts.SealKeys(g.now())
 }
 
-// WantsKeys says whether the predecessor's table is of use here.
+// WantsKeys reports whether the predecessor's table can still be used here.
 func (g *Guard) WantsKeys() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.sure() && g.attempts.WantsKeys(g.now())
+	return g.confirmedRecently() && g.attempts.NeedsKeys(g.now())
 }
 
-// TakeKeys makes the predecessor's table the guard's own, if it may be.
+// TakeKeys adds the predecessor's table to the guard's own and reports whether it
+// was accepted.
 func (g *Guard) TakeKeys(t *attempt.KeyTable) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.sure() && g.attempts.TakeKeys(t, g.now())
+	return g.confirmedRecently() && g.attempts.RestoreKeys(t, g.now())
 }
 
-// KeyState tells how the guard stands as a home of keys.
+// KeyState returns the guard's state as a home of keys.
 func (g *Guard) KeyState() attempt.KeyState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.attempts.KeyState(g.now())
 }
 
-// sure says whether the platform's word is fresh by the wall clock as well; the
-// guard's own clock stands still where a hypervisor has stopped it.
-func (g *Guard) sure() bool {
-	return time.Now().Round(0).Sub(g.listedAt) <= g.attempts.FreshWithin()
+// confirmedRecently reports whether the platform's last listing is fresh by the wall
+// clock as well. The guard's own clock stops while a hypervisor suspends the VM.
+func (g *Guard) confirmedRecently() bool {
+	return time.Now().Round(0).Sub(g.listedAt) <= g.attempts.MaxConfirmationAge()
 }
--- a/internal/guard/handover_test.go
+++ b/internal/guard/handover_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A stopping node reads the VM list anew, so that it may hand its keys on. The
-// control loop goes on telling what peers said half a minute ago. If that undid
-// the fresh word, keys would be handed on or not by chance.
-func TestAnOlderWordOfThePlatformChangesNothing(t *testing.T) {
+// A stopping node reads the VM list again, so that it may hand over its keys. The
+// control loop still reports listings up to 30 s old from peers. If these replaced the
+// fresh listing, the handover would succeed or fail by chance.
+func TestOlderListingIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		g := New(&url.URL{}, 1, func() time.Duration { return time.Since(start) })
@@ -29,6 +29,6 @@
 		require.Positive(t, hold)
 		g.Listed("other", time.Hour-time.Second)
 		_, _, ok = g.KeysToHand()
-		require.False(t, ok, "of another address it counts")
+		require.False(t, ok, "an older listing with another address counts")
 	})
 }
--- a/internal/guard/health.go
+++ b/internal/guard/health.go
@@ -7,15 +7,16 @@
 	"net/http"
 )
 
-// BackendHealth is what a backend server says of itself at its health endpoint.
+// BackendHealth is the answer of a backend server's health endpoint.
 type BackendHealth struct {
 	// State is "live", "draining" or "starting".
 	State string `json:"state"`
-	// Running is how many requests it runs by its own count; nil is not told.
+	// Running is the number of running requests by the backend server's own count; nil
+	// if it isn't reported.
 	Running *int `json:"running"`
 }
 
-// Health asks the backend server how it is.
+// Health requests the backend server's health endpoint.
 func (g *Guard) Health(ctx context.Context, path string) (BackendHealth, error) {
 	var h BackendHealth
 	u := *g.backend
--- a/internal/guard/http.go
+++ b/internal/guard/http.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// endingBody calls end once the answer has been read to its end or closed.
+// endingBody calls end once the answer has been read completely or closed.
 type endingBody struct {
 	io.ReadCloser
 	end func()
@@ -28,7 +28,8 @@
 	return err
 }
 
-// watchedBody notices when a request's body breaks off. Safe for concurrent use.
+// watchedBody records whether reading a request's body failed. Safe for concurrent
+// use.
 type watchedBody struct {
 	io.ReadCloser
 	failed atomic.Bool
@@ -42,7 +43,7 @@
 	return n, err
 }
 
-// recorder is a ResponseWriter that keeps a small answer of the system.
+// recorder is an http.ResponseWriter that buffers a small answer made by the guard.
 type recorder struct {
 	header http.Header
 	status int
--- a/internal/guard/isolate.go
+++ b/internal/guard/isolate.go
@@ -11,20 +11,20 @@
 	"github.com/limpetdock/limpetdock/internal/kind"
 )
 
-// aloneFor bounds how long a suspect keeps others off the backend server. A
-// suspect that runs longer goes on in company.
-const aloneFor = 2 * time.Second
+// maxIsolation bounds how long a suspect keeps other requests off the backend server.
+// A suspect that runs longer continues alongside other requests.
+const maxIsolation = 2 * time.Second
 
-// isolation lets suspects run alone. If one of several requests in flight
-// crashes the backend server, nobody can tell which; with a suspect alone there,
-// its guilt or innocence is certain. Safe for concurrent use.
+// isolation lets suspects run alone. If the backend server crashes with several
+// requests in flight, the cause can't be determined. A suspect that runs alone is
+// proven to be the cause or not. Safe for concurrent use.
 type isolation struct {
 	mu      sync.Mutex
 	running int
-	// alone is set while a suspect runs alone or waits to; it is closed when
-	// others may go on.
+	// alone is set while a suspect runs alone or waits to. It is closed when others may
+	// continue.
 	alone chan struct{}
-	// empty is closed when the last of the others has left.
+	// empty is closed when the last of the others has ended.
 	empty chan struct{}
 }
 
@@ -57,32 +57,32 @@
 	}
 }
 
-// visit is a request's time at the backend server.
-type visit struct {
+// execution is the time in which a request runs at the backend server.
+type execution struct {
 	// leave ends it. It must be called once.
 	leave func()
-	// alone says that nothing else has run there since it began.
+	// alone reports whether nothing else has run there since it began.
 	alone func() bool
 }
 
-// enter waits until a request may run, a suspect alone. It returns false if
-// ctx ends first.
-func (i *isolation) enter(ctx context.Context, suspect bool) (visit, bool) {
+// enter waits until a request may run; a suspect waits until it may run alone. It
+// returns false if ctx ends first.
+func (i *isolation) enter(ctx context.Context, suspect bool) (execution, bool) {
 	if suspect {
-		return i.joinAlone(ctx)
+		return i.enterAlone(ctx)
 	}
 	if !i.join(ctx) {
-		return visit{}, false
+		return execution{}, false
 	}
-	return visit{leave: i.leave, alone: func() bool { return false }}, true
+	return execution{leave: i.leave, alone: func() bool { return false }}, true
 }
 
-// joinAlone waits until nothing else runs and keeps others off until the visit
-// ends or aloneFor has passed.
-func (i *isolation) joinAlone(ctx context.Context) (visit, bool) {
+// enterAlone waits until nothing else runs and blocks other requests until the
+// execution ends or maxIsolation has passed.
+func (i *isolation) enterAlone(ctx context.Context) (execution, bool) {
 	mine, ok := i.claim(ctx)
 	if !ok {
-		return visit{}, false
+		return execution{}, false
 	}
 	var released atomic.Bool
 	release := sync.OnceFunc(func() {
@@ -91,17 +91,17 @@
 	})
 	if !i.waitEmpty(ctx) {
 		release()
-		return visit{}, false
+		return execution{}, false
 	}
-	timer := time.AfterFunc(aloneFor, release)
+	timer := time.AfterFunc(maxIsolation, release)
 	leave := func() {
 		timer.Stop()
 		release()
 	}
-	return visit{leave: leave, alone: func() bool { return !released.Load() }}, true
+	return execution{leave: leave, alone: func() bool { return !released.Load() }}, true
 }
 
-// claim waits for other suspects and then keeps everyone else off.
+// claim waits for other suspects and then blocks all other requests.
 func (i *isolation) claim(ctx context.Context) (chan struct{}, bool) {
 	for {
 		i.mu.Lock()
@@ -147,17 +147,17 @@
 	}
 }
 
-// enter waits for a slot and, for a suspect, until it is alone. The end of the
-// visit gives both back.
-func (g *Guard) enter(a admission, r *http.Request) (visit, *kind.Error) {
+// acquire waits for a slot and, for a suspect, until it may run alone. The end of the
+// execution releases both.
+func (g *Guard) acquire(a admission, r *http.Request) (execution, *kind.Error) {
 	slot, refusal := g.gate.Enter(a.ctx, rankOf(r, a.class))
 	if refusal != nil {
-		return visit{}, refusal
+		return execution{}, refusal
 	}
 	v, ok := g.isolation.enter(a.ctx, r.Header.Get(headers.Suspect) != "")
 	if !ok {
 		slot.Leave()
-		return visit{}, errLateInQueue()
+		return execution{}, errDeadlineInQueue()
 	}
 	leave := v.leave
 	v.leave = func() {
@@ -167,6 +167,6 @@
 	return v, nil
 }
 
-func errLateInQueue() *kind.Error {
+func errDeadlineInQueue() *kind.Error {
 	return kind.New(kind.DeadlineNotRun, "the deadline passed in the backend server's queue")
 }
--- a/internal/guard/isolate_test.go
+++ b/internal/guard/isolate_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A suspect waits until the requests in flight have ended, and later ones wait
-// for it. Otherwise a crash would again leave several requests to blame.
-func TestASuspectRunsAlone(t *testing.T) {
+// A suspect waits until the requests in flight have ended, and later requests wait for
+// the suspect. Otherwise several requests could again have caused a crash.
+func TestSuspectRunsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var i isolation
 		ctx := t.Context()
 		require.True(t, i.join(ctx))
 		var order []string
 		go func() {
-			v, ok := i.joinAlone(ctx)
+			v, ok := i.enterAlone(ctx)
 			require.True(t, ok)
 			order = append(order, "suspect in")
 			time.Sleep(time.Second)
@@ -40,30 +40,30 @@
 	})
 }
 
-// A suspect that never ends must not keep its target from everyone else.
-func TestASuspectIsAloneForABoundedTime(t *testing.T) {
+// A suspect that never ends must not block its target for all other requests.
+func TestSuspectIsolationIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var i isolation
-		v, ok := i.joinAlone(t.Context())
+		v, ok := i.enterAlone(t.Context())
 		require.True(t, ok)
-		ctx, cancel := context.WithTimeout(t.Context(), aloneFor/2)
+		ctx, cancel := context.WithTimeout(t.Context(), maxIsolation/2)
 		defer cancel()
 		require.False(t, i.join(ctx), "others wait while the suspect is alone")
-		require.True(t, i.join(t.Context()), "but not for good")
+		require.True(t, i.join(t.Context()), "but only up to maxIsolation")
 		i.leave()
 		v.leave()
 		require.True(t, i.join(t.Context()))
 	})
 }
 
-// A suspect whose deadline passes while it waits must let the others in again.
-func TestASuspectThatGivesUpLetsOthersIn(t *testing.T) {
+// A suspect whose deadline passes while it waits must stop blocking the others.
+func TestExpiredSuspectUnblocksOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var i isolation
 		require.True(t, i.join(t.Context()))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, ok := i.joinAlone(ctx)
+		_, ok := i.enterAlone(ctx)
 		require.False(t, ok)
 		require.True(t, i.join(t.Context()))
 	})
--- a/internal/guard/load_test.go
+++ b/internal/guard/load_test.go
@@ -17,8 +17,8 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// measured is a guard in region r with a budget that has filled up.
-func measured(t *testing.T, policy string, b fleet.Budget) (*Guard, *budget.Measuring) {
+// guardWithBudget returns a guard in region r with a full measuring budget.
+func guardWithBudget(t *testing.T, policy string, b fleet.Budget) (*Guard, *budget.Measuring) {
 	t.Helper()
 	f := fleet.Fleet{
 		Name: "shop", Revision: 1, Budget: b, Teams: []fleet.Team{{Name: "store"}},
@@ -43,21 +43,21 @@
 	return g, m
 }
 
-// replyTo gives the load header of a reply to the entry on a VM.
+// replyTo returns the load header of a reply to the entry on a VM.
 func replyTo(g *Guard, vm string) string {
 	r := httptest.NewRequest(http.MethodGet, "/", nil)
 	r.Header.Set(headers.Config, "0123456789abcdef 1 0123456789abcdef "+vm)
 	h := http.Header{}
-	h.Set(headers.Load, "what a backend server says")
+	h.Set(headers.Load, "load reported by a backend server")
 	g.addLoad(h, r, time.Minute)
 	return h.Get(headers.Load)
 }
 
-// Every byte between regions is paid for. Load is told within the region as the
-// budget allows, and to other regions by the stricter part of it; what is spent is
-// what goes over the wire.
-func TestLoadIsToldUnderTheBudget(t *testing.T) {
-	g, m := measured(t, fleet.PolicyTwoLoad, fleet.Budget{Requests: 4, Bytes: 4000, CrossRegionBytes: 200})
+// Traffic between regions is charged. Load is reported within the region as the budget
+// allows, and to other regions within the stricter part of it. The budget is charged
+// with the bytes sent on the wire.
+func TestLoadReportsStayWithinBudget(t *testing.T) {
+	g, m := guardWithBudget(t, fleet.PolicyTwoLoad, fleet.Budget{Requests: 4, Bytes: 4000, CrossRegionBytes: 200})
 	line := len("Limpetdock-Load: 0,0,0,0,0\r\n")
 	require.Equal(t, "0,0,0,0,0", replyTo(g, "near"))
 	require.EqualValues(t, line, m.Spent().Bytes.Load())
@@ -65,7 +65,7 @@
 
 	require.NotEmpty(t, replyTo(g, "far"))
 	require.Empty(t, replyTo(g, "far"), "a quarter of 200 bytes is one header")
-	require.Empty(t, replyTo(g, "a VM nobody declared"), "an unknown sender counts as far")
+	require.Empty(t, replyTo(g, "a VM nobody declared"), "an unknown sender counts as another region")
 	require.EqualValues(t, line, m.Spent().CrossBytes.Load())
 	require.NotEmpty(t, replyTo(g, "near"), "the region's own budget is untouched")
 
@@ -74,12 +74,12 @@
 	require.EqualValues(t, 3*line+wire.Size(&wire.Load{}), m.Spent().Bytes.Load())
 }
 
-func TestLoadIsNotToldWhereNobodyUsesIt(t *testing.T) {
-	for policy, told := range map[string]bool{
+func TestLoadIsReportedOnlyForPoliciesThatUseIt(t *testing.T) {
+	for policy, reported := range map[string]bool{
 		fleet.PolicyRandom: false, fleet.PolicyRoundRobin: false, fleet.PolicyTwoChoices: false,
 		fleet.PolicyProbe: false, fleet.PolicyTwoLoad: true, fleet.PolicyLeastLoad: true, fleet.PolicyIdleHints: true,
 	} {
-		g, _ := measured(t, policy, fleet.Budget{Requests: 4, Bytes: 4000, CrossRegionBytes: 200})
-		require.Equal(t, told, replyTo(g, "near") != "", policy)
+		g, _ := guardWithBudget(t, policy, fleet.Budget{Requests: 4, Bytes: 4000, CrossRegionBytes: 200})
+		require.Equal(t, reported, replyTo(g, "near") != "", policy)
 	}
 }
--- a/internal/guard/once.go
+++ b/internal/guard/once.go
@@ -18,69 +18,72 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// maxHeldBody is the largest request body that is read whole before anything
-// reaches the backend server, so that a cut upload is known not to have run.
-const maxHeldBody = 64 << 10
+// maxBufferedBody is the largest request body that is read completely before anything
+// is sent to the backend server, so that a truncated upload is known not to have run.
+const maxBufferedBody = 64 << 10
 
-// runOnce runs an at-most-once attempt, or joins the run that its id has had.
+// runOnce runs an at-most-once attempt, or joins the run already recorded under its
+// id.
 func (g *Guard) runOnce(r *http.Request, id string) (*http.Response, *kind.Error) {
-	// The body may take its time, or the process be paused while it comes.
-	deadline := time.Now().Add(timeLeft(r))
+	// The deadline is computed before the body is read: the body may arrive slowly, or
+	// the process may be paused meanwhile.
+	deadline := time.Now().Add(remainingTime(r))
 	c := claimOf(r, id)
-	body, e := holdBody(r)
+	body, e := bufferBody(r)
 	if e != nil {
 		return nil, e
 	}
 	c.Fingerprint = fingerprint(r, body)
 	if v, wait := g.check(c); v != attempt.Start {
-		return g.settle(r, c, v, wait)
+		return g.answerCopy(r, c, v, wait)
 	}
-	visit, e := g.enterRecorded(r, c)
+	visit, e := g.acquireRecorded(r, c)
 	if e != nil {
 		return g.refuse(r, c, e)
 	}
-	// Recorded only now that it has a slot: what is refused or still waits
-	// takes no room in the table and can be sealed.
+	// The attempt is recorded only once it has a slot: an attempt that is refused or
+	// still waits needs no record and can be sealed.
 	if v, wait := g.begin(c); v != attempt.Start {
 		visit.leave()
-		return g.settle(r, c, v, wait)
+		return g.answerCopy(r, c, v, wait)
 	}
 	return g.detach(r, c, deadline, visit)
 }
 
 func claimOf(r *http.Request, id string) attempt.Claim {
 	c := attempt.Claim{ID: id}
-	// What can't be parsed stays 0, which is no incarnation.
+	// A value that can't be parsed stays 0, which is never an incarnation.
 	c.Incarnation, _ = strconv.ParseUint(r.Header.Get(headers.Incarnation), 16, 64)
 	c.Tick, _ = strconv.ParseUint(r.Header.Get(headers.Tick), 10, 64)
 	return c
 }
 
-func timeLeft(r *http.Request) time.Duration {
+func remainingTime(r *http.Request) time.Duration {
 	ms, _ := strconv.ParseInt(r.Header.Get(headers.TimeoutMs), 10, 64)
 	return time.Duration(ms) * time.Millisecond
 }
 
-// holdBody reads a small body whole. A long one, or one without a length, is
-// left to stream, and nil is returned for it.
-func holdBody(r *http.Request) ([]byte, *kind.Error) {
+// bufferBody reads a small body completely. It returns nil for a longer body or one
+// without a length, which is streamed.
+func bufferBody(r *http.Request) ([]byte, *kind.Error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return []byte{}, nil
 	}
-	if r.ContentLength < 0 || r.ContentLength > maxHeldBody {
+	if r.ContentLength < 0 || r.ContentLength > maxBufferedBody {
 		return nil, nil
 	}
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
-		e := kind.New(kind.BodyCut, "the request's body ended early").Because(err)
-		e.Outcome = notRunUnless(attempt.ClassOf(r.Header.Get(headers.Attempt)))
+		e := kind.New(kind.BodyCut, "the request's body was cut off before its declared length").Because(err)
+		e.Outcome = copyOutcome(attempt.ClassOf(r.Header.Get(headers.Attempt)))
 		return nil, e
 	}
 	r.Body = io.NopCloser(bytes.NewReader(text))
 	return text, nil
 }
 
-// fingerprint tells requests apart by method, target and, where it was held, body.
+// fingerprint returns a hash of the method, the target, the body's length and the body
+// if it was buffered. It distinguishes requests under one ticket or key.
 func fingerprint(r *http.Request, body []byte) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{r.Method, r.URL.RequestURI(), strconv.FormatInt(r.ContentLength, 10)} {
@@ -91,17 +94,17 @@
 	return h.Sum64()
 }
 
-// enterRecorded checks whether the guard takes work and waits for a slot. While it
-// waits, the attempt can be sealed.
-func (g *Guard) enterRecorded(r *http.Request, c attempt.Claim) (visit, *kind.Error) {
+// acquireRecorded checks whether the guard accepts the request and waits for a slot.
+// While it waits, the attempt can be sealed.
+func (g *Guard) acquireRecorded(r *http.Request, c attempt.Claim) (execution, *kind.Error) {
 	a, e := g.admit(r)
 	if e != nil {
-		return visit{}, e
+		return execution{}, e
 	}
 	defer a.cancel()
-	g.arrive(c.ID)
-	defer g.depart(c.ID)
-	return g.enter(a, r)
+	g.addPresent(c.ID)
+	defer g.removePresent(c.ID)
+	return g.acquire(a, r)
 }
 
 type result struct {
@@ -109,9 +112,9 @@
 	e    *kind.Error
 }
 
-// detach runs a recorded attempt. The run outlives the exchange that brought
-// it: the entry may come back for the answer over another connection.
-func (g *Guard) detach(r *http.Request, c attempt.Claim, deadline time.Time, v visit) (*http.Response, *kind.Error) {
+// detach runs a recorded attempt. The run continues if the exchange that started it
+// breaks: the entry may collect the answer over another connection.
+func (g *Guard) detach(r *http.Request, c attempt.Claim, deadline time.Time, v execution) (*http.Response, *kind.Error) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), deadline)
 	g.running.Add(1)
 	end := sync.OnceFunc(func() {
@@ -133,11 +136,11 @@
 		return res.resp, res.e
 	case <-r.Context().Done():
 		go discard(ended)
-		return nil, kind.New(kind.OutcomeUnknown, "the entry has gone")
+		return nil, kind.New(kind.OutcomeUnknown, "the entry closed or cancelled the exchange while the request ran")
 	}
 }
 
-// discard reads an answer that nobody waits for any more to its end.
+// discard drains an answer that nobody waits for.
 func discard(ended <-chan result) {
 	res := <-ended
 	if res.resp == nil {
@@ -147,12 +150,12 @@
 	_ = res.resp.Body.Close()
 }
 
-// runRecorded hands a recorded attempt to the backend server and records its
-// end. end is called once nothing of it runs any more.
-func (g *Guard) runRecorded(ctx context.Context, r *http.Request, id string, p *permit, v visit, body *watchedBody, end func()) (*http.Response, *kind.Error) {
+// runRecorded forwards a recorded attempt to the backend server and records its
+// outcome. end is called once nothing of the attempt is running.
+func (g *Guard) runRecorded(ctx context.Context, r *http.Request, id string, p *permit, v execution, body *watchedBody, end func()) (*http.Response, *kind.Error) {
 	resp, err := g.forward(withPermit(ctx, p), r)
 	if err == nil {
-		return g.keepAnswer(resp, id, end)
+		return g.storeAnswer(resp, id, end)
 	}
 	defer end()
 	if p.revoke() {
@@ -161,12 +164,13 @@
 	}
 	g.finish(id, nil)
 	if body.failed.Load() && ctx.Err() == nil {
-		return nil, kind.New(kind.BodyCut, "the request's body ended early, after the backend server had its start").Because(err)
+		return nil, kind.New(kind.BodyCut, "the request's body was cut off after its start had been sent to the backend server").Because(err)
 	}
 	return nil, g.backendError(ctx, p, v, err)
 }
 
-// notSent tells why no byte went to the backend server.
+// notSent returns the error for a request of which no byte was sent to the backend
+// server.
 func notSent(deadline time.Time, err error) *kind.Error {
 	if passed(deadline, time.Now()) || errors.Is(err, errRevoked) {
 		return kind.New(kind.DeadlineNotRun, "the deadline passed before the request could run").Because(err)
@@ -174,14 +178,14 @@
 	return kind.New(kind.Unreachable, "the backend server can't be reached").Because(err)
 }
 
-// keepAnswer keeps a small answer whole, so that it can be collected again.
-func (g *Guard) keepAnswer(resp *http.Response, id string, end func()) (*http.Response, *kind.Error) {
+// storeAnswer stores a small answer completely, so that it can be collected again.
+func (g *Guard) storeAnswer(resp *http.Response, id string, end func()) (*http.Response, *kind.Error) {
 	a, whole, err := answerOf(resp)
 	if err != nil {
 		_ = resp.Body.Close()
 		g.finish(id, nil)
 		end()
-		return nil, kind.New(kind.BackendBroken, "the backend server broke off its answer").Because(err)
+		return nil, kind.New(kind.BackendBroken, "the backend server closed the connection during its answer").Because(err)
 	}
 	if whole {
 		_ = resp.Body.Close()
@@ -203,8 +207,8 @@
 	return resp, nil
 }
 
-// answerFrom makes an answer out of a kept one. Its length is the one that was
-// counted, so a cut between nodes is seen.
+// answerFrom returns a response with a stored answer. Its Content-Length is the
+// counted length, so that a truncation between nodes is detected.
 func answerFrom(a *attempt.Answer) *http.Response {
 	header := a.Header.Clone()
 	header.Set("Content-Length", strconv.Itoa(len(a.Body)))
@@ -215,7 +219,7 @@
 	}
 }
 
-// collect gives the kept answer of an attempt of this incarnation.
+// collect returns the stored answer of an attempt of this incarnation.
 func (g *Guard) collect(r *http.Request, id string) (*http.Response, *kind.Error) {
 	if claimOf(r, id).Incarnation != g.incarnation {
 		return nil, kind.New(kind.OutcomeUnknown, "the attempt belongs to another incarnation")
@@ -223,15 +227,15 @@
 	return g.join(r, id)
 }
 
-// join waits for an attempt's end and gives its kept answer.
+// join waits for the end of an attempt and returns its stored answer.
 func (g *Guard) join(r *http.Request, id string) (*http.Response, *kind.Error) {
-	state, answer, ended := g.look(id)
+	state, answer, ended := g.lookup(id)
 	if state == wire.AttemptRunning {
-		ctx, cancel := context.WithTimeout(r.Context(), timeLeft(r))
+		ctx, cancel := context.WithTimeout(r.Context(), remainingTime(r))
 		defer cancel()
 		select {
 		case <-ended:
-			state, answer, _ = g.look(id)
+			state, answer, _ = g.lookup(id)
 		case <-ctx.Done():
 			return nil, kind.New(kind.DeadlineUnknown, "the deadline passed while the request ran")
 		}
@@ -243,7 +247,7 @@
 	case wire.AttemptSealed:
 		return nil, sealedError(id)
 	case wire.AttemptLost:
-		return nil, kind.New(kind.AnswerLost, "the request ran or may have; its answer isn't kept")
+		return nil, kind.New(kind.AnswerLost, "the request ran or may have run; its answer isn't stored")
 	}
-	return nil, kind.New(kind.OutcomeUnknown, "no record of the attempt")
+	return nil, kind.New(kind.OutcomeUnknown, "the guard has no record of the attempt")
 }
--- a/internal/guard/records.go
+++ b/internal/guard/records.go
@@ -10,29 +10,30 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// Counters count what the guard decided about attempts. Safe for concurrent use.
+// Counters counts the guard's decisions about attempts. Safe for concurrent use.
 type Counters struct {
-	// Refused counts copies that weren't run: stale, conflicting, or with a key
-	// that isn't taken.
+	// Refused counts copies that weren't run: stale, conflicting, or with a key that
+	// isn't accepted.
 	Refused atomic.Uint64
 	// Sealed counts attempts that were sealed before they ran.
 	Sealed atomic.Uint64
-	// Redelivered counts kept answers that were given again.
+	// Redelivered counts stored answers that were sent again.
 	Redelivered atomic.Uint64
 }
 
-// Attempts gives the number of attempt records and the bytes of kept answers.
+// Attempts returns the number of attempt records and the bytes of stored answers.
 func (g *Guard) Attempts() (records, stored int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.attempts.Len()
 }
 
-// Seal answers what became of an attempt.
+// Seal returns the outcome of an attempt. An attempt that hasn't started is sealed,
+// unless the request only asks.
 func (g *Guard) Seal(m *wire.Seal) *wire.Sealed {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.doubt()
+	g.expireConfirmation()
 	state := g.attempts.Seal(attempt.Claim{ID: m.Attempt, Incarnation: m.Incarnation, Tick: m.Tick}, m.AskOnly, g.now())
 	if state == wire.AttemptSealed {
 		g.Counters.Sealed.Add(1)
@@ -40,12 +41,12 @@
 	return &wire.Sealed{Incarnation: g.incarnation, Tick: g.Tick(), State: state}
 }
 
-// notListed is no time at which the platform showed this VM.
+// notListed marks that the platform has not listed this VM yet.
 const notListed = time.Duration(math.MinInt64)
 
-// setKeys puts the rules for callers' own keys in force.
+// setKeys applies the rules for callers' own keys.
 func (g *Guard) setKeys(svc *config.Service, vm string) {
-	rules := attempt.Keys{Service: svc.Name, Self: vm, Lifetime: svc.KeyLifetime, Addr: g.addr}
+	rules := attempt.KeyConfig{Service: svc.Name, Self: vm, Lifetime: svc.KeyLifetime, Addr: g.addr}
 	for _, t := range svc.Targets {
 		rules.Targets = append(rules.Targets, t.VM)
 	}
@@ -55,15 +56,15 @@
 	if g.listedAt.IsZero() {
 		g.listedAt = time.Now().Round(0)
 	}
-	if !g.keyed {
-		// What was told before could not be weighed by these rules.
-		g.keyed, g.listed, g.listedAddr = true, notListed, ""
+	if !g.hasKeyRules {
+		// Earlier listings could not be checked against these rules.
+		g.hasKeyRules, g.listed, g.listedAddr = true, notListed, ""
 	}
 }
 
-// Listed notes that the platform showed this VM under an address at a time
-// since the node's start. The same is told every tick; only what is newer, or of
-// another address, counts.
+// Listed records that the platform listed this VM under an address at a time
+// since the node's start. The same listing is reported on every tick; only a newer one
+// or one with another address has an effect.
 func (g *Guard) Listed(addr string, at time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -79,28 +80,29 @@
 	}
 }
 
-// doubt takes the platform's word back when the wall clock says that it is old,
-// whatever the guard's own clock says: a hypervisor may have stopped that one.
-// The mutex is held.
-func (g *Guard) doubt() {
-	if time.Now().Round(0).Sub(g.listedAt) > g.attempts.ConfirmWithin() {
-		g.attempts.Doubt()
+// expireConfirmation discards the platform's last confirmation if it is too old by the
+// wall clock, whatever the guard's own clock shows: that one may have been stopped by
+// a hypervisor. The mutex must be held.
+func (g *Guard) expireConfirmation() {
+	if time.Now().Round(0).Sub(g.listedAt) > g.attempts.ConfirmationTTL() {
+		g.attempts.ExpireConfirmation()
 	}
 }
 
-// Heard takes news of nodes: a newer incarnation of the own VM means that this
-// process has been replaced and lives on beside its replacement.
-func (g *Guard) Heard(news []wire.Member) {
+// Heard processes the member list of an update. A newer incarnation of the own
+// VM means that this process has been replaced and is still running beside its
+// replacement.
+func (g *Guard) Heard(members []wire.Member) {
 	vm := g.vm
 	if v := g.view.Load(); v != nil {
 		vm = v.Here.VM
 	}
-	for _, m := range news {
+	for _, m := range members {
 		if m.VM != vm || m.Incarnation == g.incarnation {
 			continue
 		}
 		g.mu.Lock()
-		g.attempts.Heard(m.Incarnation, g.now())
+		g.attempts.NoteIncarnation(m.Incarnation, g.now())
 		g.mu.Unlock()
 	}
 }
@@ -108,18 +110,18 @@
 func (g *Guard) check(c attempt.Claim) (attempt.Verdict, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.doubt()
-	return g.counted(g.attempts.Check(c, g.now()))
+	g.expireConfirmation()
+	return g.countRefused(g.attempts.Check(c, g.now()))
 }
 
 func (g *Guard) begin(c attempt.Claim) (attempt.Verdict, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.doubt()
-	return g.counted(g.attempts.Begin(c, g.now()))
+	g.expireConfirmation()
+	return g.countRefused(g.attempts.Begin(c, g.now()))
 }
 
-func (g *Guard) counted(v attempt.Verdict, wait time.Duration) (attempt.Verdict, time.Duration) {
+func (g *Guard) countRefused(v attempt.Verdict, wait time.Duration) (attempt.Verdict, time.Duration) {
 	if v != attempt.Start && v != attempt.Known {
 		g.Counters.Refused.Add(1)
 	}
@@ -130,16 +132,16 @@
 	return g.Seal(&wire.Seal{Attempt: c.ID, Incarnation: c.Incarnation, Tick: c.Tick}).State
 }
 
-func (g *Guard) arrive(id string) {
+func (g *Guard) addPresent(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.attempts.Arrive(id)
+	g.attempts.AddPresent(id)
 }
 
-func (g *Guard) depart(id string) {
+func (g *Guard) removePresent(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.attempts.Depart(id)
+	g.attempts.RemovePresent(id)
 }
 
 func (g *Guard) abort(id string) {
@@ -154,8 +156,8 @@
 	g.attempts.Finish(id, a, g.now())
 }
 
-func (g *Guard) look(id string) (wire.AttemptState, *attempt.Answer, <-chan struct{}) {
+func (g *Guard) lookup(id string) (wire.AttemptState, *attempt.Answer, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.attempts.Look(id)
+	return g.attempts.Lookup(id)
 }
--- a/internal/handover/keeper_test.go
+++ b/internal/handover/keeper_test.go
@@ -30,8 +30,9 @@
 	return NewKeeper(func() uint64 { n++; return n })
 }
 
-// kept is a keeper that has a whole table of incarnation 5 since 0.
-func kept() (*Keeper, uint64) {
+// keeperWithTable returns a keeper that has had a complete table of incarnation 5
+// since time 0.
+func keeperWithTable() (*Keeper, uint64) {
 	k := newKeeper()
 	token := k.Offer(offer(5, 100), 5, at(0)).Token
 	k.Put("a", part(token, 0), at(0))
@@ -39,57 +40,57 @@
 	return k, token
 }
 
-// Each of these, if the keeper gave the table, would make a process the home of
-// keys that another one has run or may still run.
-func TestWhatAKeeperDoesNotGive(t *testing.T) {
-	const given, notGiven = 2, 0
+// In each refused case, serving the table would make a process the home of keys that
+// another process has run or may still run.
+func TestKeeperServesTableOnlyToSuccessor(t *testing.T) {
+	const served, notServed = 2, 0
 	cases := []struct {
 		name string
-		// happens ends with the keeper's answer to the last question.
-		happens func(k *Keeper, token uint64) *wire.KeysPart
-		want    uint32
+		// serve returns the keeper's answer to the last request.
+		serve func(k *Keeper, token uint64) *wire.KeysPart
+		want  uint32
 	}{
 		{"to its successor in time", func(k *Keeper, _ uint64) *wire.KeysPart {
 			k.Give(ask(6, 0), 5, at(time.Second))
 			return k.Give(ask(6, 1), 6, at(time.Second))
-		}, given},
-		{"after its time", func(k *Keeper, _ uint64) *wire.KeysPart { return k.Give(ask(6, 0), 5, at(11*time.Second)) }, notGiven},
-		{"after its time by the wall clock alone", func(k *Keeper, _ uint64) *wire.KeysPart {
+		}, served},
+		{"after its expiry", func(k *Keeper, _ uint64) *wire.KeysPart { return k.Give(ask(6, 0), 5, at(11*time.Second)) }, notServed},
+		{"after its expiry by the wall clock alone", func(k *Keeper, _ uint64) *wire.KeysPart {
 			return k.Give(ask(6, 0), 5, Moment{Up: time.Second, Wall: at(time.Minute).Wall})
-		}, notGiven},
+		}, notServed},
 		{"a second time", func(k *Keeper, _ uint64) *wire.KeysPart {
 			k.Give(ask(6, 0), 5, at(0))
 			k.Give(ask(6, 1), 5, at(0))
 			return k.Give(ask(6, 0), 5, at(0))
-		}, notGiven},
+		}, notServed},
 		{"a part again whose answer was lost", func(k *Keeper, _ uint64) *wire.KeysPart {
 			k.Give(ask(6, 0), 5, at(0))
 			return k.Give(ask(6, 0), 5, at(0))
-		}, notGiven},
+		}, notServed},
 		{"the rest to another", func(k *Keeper, _ uint64) *wire.KeysPart {
 			k.Give(ask(6, 0), 5, at(0))
 			return k.Give(ask(7, 1), 5, at(0))
-		}, notGiven},
-		{"when a third process has been heard of", func(k *Keeper, _ uint64) *wire.KeysPart {
+		}, notServed},
+		{"when a third process has been seen", func(k *Keeper, _ uint64) *wire.KeysPart {
 			return k.Give(ask(7, 0), 6, at(0))
-		}, notGiven},
-		{"to an older process", func(k *Keeper, _ uint64) *wire.KeysPart { return k.Give(ask(4, 0), 5, at(0)) }, notGiven},
-		{"once given, sent again by a sender that didn't hear", func(k *Keeper, token uint64) *wire.KeysPart {
+		}, notServed},
+		{"to an older process", func(k *Keeper, _ uint64) *wire.KeysPart { return k.Give(ask(4, 0), 5, at(0)) }, notServed},
+		{"once served, sent again by a sender that missed the acknowledgement", func(k *Keeper, token uint64) *wire.KeysPart {
 			k.Give(ask(6, 0), 5, at(0))
 			k.Give(ask(6, 1), 5, at(0))
 			k.Put("a", part(token, 0), at(0))
 			k.Put("a", part(token, 1), at(0))
 			return k.Give(ask(7, 0), 5, at(0))
-		}, notGiven},
+		}, notServed},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			require.Equal(t, c.want, c.happens(kept()).Parts)
+			require.Equal(t, c.want, c.serve(keeperWithTable()).Parts)
 		})
 	}
 }
 
-func TestWhatAKeeperDoesNotTake(t *testing.T) {
+func TestKeeperRefusesInvalidOffersAndParts(t *testing.T) {
 	k := newKeeper()
 	require.Zero(t, k.Offer(offer(5, MaxBytes+1), 5, at(0)).Token, "too long")
 	require.Zero(t, k.Offer(offer(5, 100), 6, at(0)).Token, "of a process that was replaced")
@@ -104,36 +105,36 @@
 	require.False(t, k.Put("a", part(token, 1), at(0)).OK, "more than was offered")
 	token = k.Offer(offer(5, 100), 5, at(0)).Token
 	require.True(t, k.Put("a", part(token, 0), at(0)).OK)
-	require.False(t, k.Put("a", part(token, 1), at(putWithin+1)).OK, "from a process that was frozen after the first part")
+	require.False(t, k.Put("a", part(token, 1), at(putTimeout+1)).OK, "from a process that was frozen after the first part")
 	require.Empty(t, k.Held())
 	for n := range 3 {
 		o := offer(5, MaxBytes)
 		o.VM = fmt.Sprint(n)
-		require.Equal(t, n < maxKept/MaxBytes, k.Offer(o, 5, at(0)).Token != 0, "memory is bounded")
+		require.Equal(t, n < maxStoredBytes/MaxBytes, k.Offer(o, 5, at(0)).Token != 0, "memory is bounded")
 	}
 }
 
-// A successor was frozen while the table came.
-func TestATableThatComesLateIsLetGo(t *testing.T) {
+// A successor was frozen during the transfer.
+func TestLateTableIsDiscarded(t *testing.T) {
 	parts, err := Split(&attempt.KeyTable{})
 	require.NoError(t, err)
-	take := NewTake(at(0))
-	_, err = take.Table(at(0))
-	require.ErrorIs(t, err, ErrBroken)
-	_, err = take.Add(&wire.KeysPart{})
-	require.ErrorIs(t, err, ErrNothing)
-	more, err := take.Add(&wire.KeysPart{Token: 1, Parts: 1, Data: parts[0]})
+	transfer := NewTake(at(0))
+	_, err = transfer.Table(at(0))
+	require.ErrorIs(t, err, ErrInvalid)
+	_, err = transfer.Add(&wire.KeysPart{})
+	require.ErrorIs(t, err, ErrNoTable)
+	more, err := transfer.Add(&wire.KeysPart{Token: 1, Parts: 1, Data: parts[0]})
 	require.NoError(t, err)
 	require.False(t, more)
-	_, err = take.Table(at(takeWithin + 1))
-	require.ErrorIs(t, err, ErrLate)
-	_, err = take.Table(at(takeWithin))
+	_, err = transfer.Table(at(transferTimeout + 1))
+	require.ErrorIs(t, err, ErrExpired)
+	_, err = transfer.Table(at(transferTimeout))
 	require.NoError(t, err)
 }
 
-// A keeper falls silent in the middle of a hand-over. Its copy is whole if it got
-// the last part, although nobody heard it say so.
-func TestNoSecondKeeperAfterTheLastPart(t *testing.T) {
+// A keeper stops answering during a handover. If it received the last part, its copy
+// is complete although the acknowledgement was lost.
+func TestNoSecondKeeperAfterLastPart(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		failsAt int
@@ -141,16 +142,16 @@
 		ok      bool
 		puts    int
 	}{
-		{"all goes well", -1, 0, true, 3},
-		{"silent before the last part", 1, 1, true, 2 + 3},
-		{"silent at the last part", 2, 0, false, 3},
+		{"no failure", -1, 0, true, 3},
+		{"no answer before the last part", 1, 1, true, 2 + 3},
+		{"no answer at the last part", 2, 0, false, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			puts := 0
 			to, ok := Send(2, 3, func(keeper, part int) error {
 				puts++
 				if keeper == 0 && part == c.failsAt {
-					return ErrBroken
+					return ErrInvalid
 				}
 				return nil
 			})
@@ -161,12 +162,12 @@
 	}
 }
 
-// A table of 100 000 keys with answers must fit what a keeper takes, in parts
-// that fit a frame.
-func TestTheLargestTableFits(t *testing.T) {
+// A table of 100 000 keys with answers must fit the size that a keeper accepts, in
+// parts that fit a frame.
+func TestLargestTableFits(t *testing.T) {
 	const lifetime = 10 * time.Minute
 	table := attempt.NewTable(1)
-	table.SetKeys(attempt.Keys{Service: "s", Self: "a", Targets: []string{"a"}, Lifetime: lifetime, Addr: "ip"}, 0)
+	table.SetKeys(attempt.KeyConfig{Service: "s", Self: "a", Targets: []string{"a"}, Lifetime: lifetime, Addr: "ip"}, 0)
 	table.Confirm("ip", 0)
 	now := 2 * time.Hour
 	table.Confirm("ip", now)
@@ -175,7 +176,7 @@
 		_, _ = table.Begin(attempt.Claim{ID: id, Incarnation: 1, Tick: attempt.Tick(now)}, now)
 		table.Finish(id, &attempt.Answer{Status: 200, Body: make([]byte, 300)}, now)
 	}
-	bytes, _, ok := table.KeysToHand(now)
+	bytes, _, ok := table.HandoverSize(now)
 	require.True(t, ok)
 	require.LessOrEqual(t, bytes, MaxBytes)
 	sealed, ok := table.SealKeys(now)
--- a/internal/handover/parts.go
+++ b/internal/handover/parts.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// partBytes is where a part ends; the next record begins another.
+	// partBytes is the size at which a part is closed; the next record begins another.
 	partBytes = 256 << 10
-	// takeWithin is how long after its first question a successor may take a
-	// table: a process that was frozen meanwhile lets it go.
-	takeWithin = 2 * time.Second
+	// transferTimeout is how long after its first request a successor may use a table. A
+	// process that was frozen in the meantime discards it.
+	transferTimeout = 2 * time.Second
 )
 
-// Errors of a table on its way to a successor.
+// Errors of the transfer to a successor.
 var (
-	ErrNothing = eris.New("the peer has no key table to give")
-	ErrBroken  = eris.New("the key table can't be read")
-	ErrLate    = eris.New("the key table came too late")
+	ErrNoTable = eris.New("the peer has no key table for this node")
+	ErrInvalid = eris.New("the key table can't be decoded")
+	ErrExpired = eris.New("the key table arrived too late")
 )
 
-// Split gives a table in parts.
+// Split returns a table in encoded parts.
 func Split(t *attempt.KeyTable) ([][]byte, error) {
 	var parts [][]byte
 	chunk := &wire.KeysChunk{Head: &t.Head}
@@ -47,9 +47,10 @@
 	return parts, flush()
 }
 
-// Send puts all parts to the first keeper that takes them, and says which. Once
-// the last part has been sent, that keeper may have the whole table, whatever
-// the error: no other is tried, as two processes could take the two copies.
+// Send sends all parts to the first keeper that accepts them, and returns its index.
+// Once the last part has been sent, that keeper may have the complete table even if
+// the call failed. No other keeper is tried then, as two processes could each receive
+// one of the copies.
 func Send(keepers, parts int, put func(keeper, part int) error) (to int, ok bool) {
 	for to = range keepers {
 		sent, err := sendTo(to, parts, put)
@@ -63,7 +64,7 @@
 	return 0, false
 }
 
-// sendTo gives how many parts have been sent, the last perhaps in vain.
+// sendTo returns the number of parts sent, including one that failed.
 func sendTo(keeper, parts int, put func(keeper, part int) error) (sent int, err error) {
 	for sent < parts {
 		sent++
@@ -74,34 +75,34 @@
 	return sent, nil
 }
 
-// Take is a successor's side of a transfer.
+// Transfer assembles a table that a successor receives from a keeper.
 type Take struct {
-	asked Moment
-	table attempt.KeyTable
-	next  uint32
-	total uint32
-	token uint64
-	// Bytes counts what has come.
+	requested Moment
+	table     attempt.KeyTable
+	next      uint32
+	total     uint32
+	token     uint64
+	// Bytes counts the bytes received.
 	Bytes int
 }
 
-// NewTake begins a transfer. It must be called before the first question is sent.
-func NewTake(now Moment) *Take { return &Take{asked: now} }
+// NewTransfer begins a transfer. It must be called before the first request is sent.
+func NewTake(now Moment) *Take { return &Take{requested: now} }
 
-// Next is the part to ask for.
+// Next returns the number of the part to ask for.
 func (t *Take) Next() uint32 { return t.next }
 
-// Add takes a part and says whether more are to come.
+// Add appends a part and reports whether there are more.
 func (t *Take) Add(p *wire.KeysPart) (more bool, err error) {
 	if p.Parts == 0 {
-		return false, ErrNothing
+		return false, ErrNoTable
 	}
 	if p.Seq != t.next || t.next > 0 && (p.Parts != t.total || p.Token != t.token) {
-		return false, ErrBroken
+		return false, ErrInvalid
 	}
 	chunk, err := wire.DecodeKeys(p.Data)
 	if err != nil || (chunk.Head != nil) != (t.next == 0) {
-		return false, ErrBroken
+		return false, ErrInvalid
 	}
 	if chunk.Head != nil {
 		t.table.Head = *chunk.Head
@@ -112,13 +113,13 @@
 	return t.next < t.total, nil
 }
 
-// Table gives the whole table, unless it came too late.
+// Table returns the complete table, or ErrExpired after transferTimeout.
 func (t *Take) Table(now Moment) (*attempt.KeyTable, error) {
 	switch {
 	case t.total == 0 || t.next < t.total:
-		return nil, ErrBroken
-	case now.since(t.asked) > takeWithin:
-		return nil, ErrLate
+		return nil, ErrInvalid
+	case now.since(t.requested) > transferTimeout:
+		return nil, ErrExpired
 	}
 	return &t.table, nil
 }
