--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock gives the time since a process started.
+// Package clock provides the time since the process started.
 package clock
 
 import (
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock gives the time since the node's start. It never goes back, and it
-// counts the time for which the VM was suspended, which Go's monotonic clock
-// doesn't: a node that was replaced meanwhile must not take itself for fresh
-// (clock_gettime(2), CLOCK_BOOTTIME).
+// Clock returns the time since the node started. It never goes back. Unlike Go's
+// monotonic clock it includes the time during which the VM was suspended
+// (clock_gettime(2), CLOCK_BOOTTIME), so that a node which was replaced during a
+// suspension does not treat its state as current.
 type Clock func() time.Duration
 
 // New returns a Clock that starts now.
@@ -21,7 +21,7 @@
 		return func() time.Duration { return time.Since(began) }
 	}
 	return func() time.Duration {
-		// It has answered before, and has no way to fail later.
+		// The first call succeeded; later calls can't fail.
 		now, _ := sinceBoot()
 		return now - start
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,7 +10,7 @@
 	"github.com/limpetdock/limpetdock/internal/clock"
 )
 
-func TestTheClockStartsAtZeroAndNeverGoesBack(t *testing.T) {
+func TestClockStartsAtZeroAndNeverGoesBack(t *testing.T) {
 	now := clock.New()
 	last := now()
 	require.Less(t, last, time.Minute)
--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits, and says whether ctx still holds.
+// Sleep waits for d or until ctx is done. It reports whether the full time elapsed.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
