--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,4 +1,4 @@
-// Package accept takes connections from a listener.
+// Package accept implements accept loops for listeners.
 package accept
 
 import (
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Pause suits most listeners after a failed accept: descriptors come free when a
-// request ends, which takes some dozens of milliseconds.
+// RetryDelay is the default delay after a failed accept. File descriptors are freed
+// when requests end, which takes some tens of milliseconds.
 const Pause = 20 * time.Millisecond
 
-// Loop hands each connection to take until l is closed; take must not block. When
-// accepting fails otherwise, as when descriptors have run out for a moment, failed
-// is called and l is tried again after a pause: what is open goes on.
+// Loop passes each accepted connection to take until l is closed; take must not
+// block. On any other accept error, such as a temporary lack of file descriptors, it
+// calls failed and retries after pause. Open connections are not affected.
 func Loop(l net.Listener, pause time.Duration, failed func(), take func(net.Conn)) {
 	for {
 		conn, err := l.Accept()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon holds what both kinds of node have on their command line.
+// Package daemon implements the command line that the daemon programs share.
 package daemon
 
 import (
@@ -15,14 +15,14 @@
 	ExitUsage  = 2
 )
 
-// Options are what the command line says.
+// Options are the command-line options.
 type Options struct {
 	Settings string `short:"s" long:"settings" value-name:"FILE" required:"true" description:"settings file (INI)"`
 	Check    bool   `long:"check" description:"check the settings file and exit"`
 }
 
-// Main reads the command line of a program and the settings that it names, and
-// serves under them. It gives the exit code.
+// Main parses the command line, loads the settings file it names and calls serve
+// with the settings. It returns the exit code.
 func Main[S any](program string, args []string, load func(path string) (S, error), serve func(path string, settings S) int) int {
 	var opts Options
 	parser := flags.NewNamedParser(program, flags.HelpFlag|flags.PassDoubleDash)
@@ -47,7 +47,7 @@
 	return serve(opts.Settings, settings)
 }
 
-// Complain tells why the program can't start.
+// ReportError prints the error that prevents a start and returns the exit code.
 func Complain(err error) int {
 	fmt.Fprintln(os.Stderr, "limpetdockd:", err)
 	return ExitUsage
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,7 +1,7 @@
-// Package place says how far VMs stand from one another.
+// Package place classifies the network distance between VMs.
 package place
 
-// Distance is how far another VM stands.
+// Distance is the network distance to another VM.
 type Distance uint8
 
 // The distances, nearest first.
@@ -12,7 +12,7 @@
 	OtherRegion
 )
 
-// Between gives the distance of two VMs by what they share.
+// Between returns the distance between two VMs, based on what they share.
 func Between(sameVM, sameZone, sameRegion bool) Distance {
 	switch {
 	case sameVM:
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -1,4 +1,4 @@
-// Package sockopt sets options of sockets that package net has no name for.
+// Package sockopt sets socket options that package net does not expose.
 package sockopt
 
 import (
@@ -8,9 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout gives a net.Dialer's Control by which the kernel gives up bytes that
-// weren't acknowledged for so long (TCP_USER_TIMEOUT, tcp(7)). Without it a
-// connection to an address that went dark hangs for a quarter of an hour.
+// UserTimeout returns a Control function for net.Dialer that sets TCP_USER_TIMEOUT:
+// the kernel closes a connection whose sent data stays unacknowledged for that long
+// (tcp(7)). Without it a connection to an unreachable address hangs for about 15
+// minutes.
 func UserTimeout(after time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,4 @@
-// Package version tells which build of the programs runs.
+// Package version provides the build information of the running program.
 package version
 
 import (
@@ -6,21 +6,21 @@
 	"sync"
 )
 
-// shortRevision is how much of a commit's digest is shown.
+// shortRevision is the number of characters of the commit hash that are shown.
 const shortRevision = 12
 
-// Build is what is known of a program's build.
+// Build describes a program's build.
 type Build struct {
-	// Version is the module's version, or "devel" for a build of a work tree.
+	// Version is the module's version, or "devel" for a build from a work tree.
 	Version string `json:"version"`
-	// Commit is the start of the commit's digest, with "+changes" when the work
-	// tree had any; empty when unknown.
+	// Commit is the abbreviated commit hash, with "+changes" if the work tree had
+	// uncommitted changes; empty if unknown.
 	Commit string `json:"commit,omitempty"`
 	// Go is the version of the toolchain.
 	Go string `json:"go"`
 }
 
-// String gives the build in one line.
+// String returns the build on one line.
 func (b Build) String() string {
 	s := b.Version
 	if b.Commit != "" {
@@ -29,7 +29,7 @@
 	return s + " " + b.Go
 }
 
-// Current is the build of the running program.
+// Current returns the build of the running program.
 var Current = sync.OnceValue(func() Build {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
