--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform reads and watches what the platform publishes: the
-// configuration service's values and the list of VMs. Nothing is ever written.
+// Package platform reads and watches the data that the platform publishes: the
+// values of the configuration service and the list of VMs. It never writes.
 package platform
 
 import (
@@ -19,10 +19,10 @@
 	"github.com/limpetdock/limpetdock/internal/progress"
 )
 
-// VMState is what the VM list says of a VM.
+// VMState is the state of a VM in the VM list.
 type VMState string
 
-// The states of VMs in the list.
+// States of VMs in the list.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
@@ -35,14 +35,15 @@
 	State VMState `json:"state"`
 }
 
-// VMList is the platform's list of VMs. It lags behind the truth.
+// VMList is the platform's list of VMs. It lags behind the actual state.
 type VMList struct {
 	Version uint64 `json:"version"`
 	VMs     []VM   `json:"vms"`
 }
 
-// Value is a value of the configuration service with the service's own version
-// of it, which orders watches and says nothing about configuration revisions.
+// Value is a value of the configuration service. Version is the service's own
+// version of the value. It orders watches and is unrelated to configuration
+// revisions.
 type Value struct {
 	Text    []byte
 	Version uint64
@@ -50,40 +51,41 @@
 
 // Client reads the platform. Implementations are safe for concurrent use.
 type Client interface {
-	// Read gives the value of a key.
+	// Read returns the value of a key.
 	Read(ctx context.Context, key string) (Value, error)
-	// Watch waits until the key's version differs from after, or a while.
-	// It gives the value in either case.
+	// Watch waits until the key's version differs from after or the watch times out, and
+	// returns the value in either case.
 	Watch(ctx context.Context, key string, after uint64) (Value, error)
-	// WatchVMs waits until the VM list's version differs from after, or a
-	// while. An after of zero returns at once.
+	// WatchVMs waits until the VM list's version differs from after or the watch times
+	// out. If after is zero it returns at once.
 	WatchVMs(ctx context.Context, after uint64) (VMList, error)
 }
 
-// Errors of the platform that a caller may want to tell apart.
+// Errors of the platform that callers may handle separately.
 var (
-	ErrNotFound = eris.New("the platform doesn't hold this key")
-	ErrTooLarge = eris.New("the platform sent more than a megabyte")
+	ErrNotFound = eris.New("key not found on the platform")
+	ErrTooLarge = eris.New("answer of the platform exceeds one megabyte")
 )
 
 const (
-	// answerWithin is how long the platform may take to begin its answer, beyond what it
-	// was asked to wait.
-	answerWithin = 2 * time.Second
-	// watchWait is how long the platform may hold a watch open.
+	// answerTimeout is how long the platform may take to begin its answer, in addition
+	// to the time that a watch asks it to wait.
+	answerTimeout = 2 * time.Second
+	// watchWait is how long the platform may keep a watch open.
 	watchWait    = 20 * time.Second
 	versionField = "X-Version"
 )
 
-// pace is that of an answer which has begun. The whole has no limit in time: how long it
-// takes depends on the document's size and on the link.
+// pace is the minimum pace of an answer that has begun. The whole transfer has no
+// time limit, since its duration depends on the size of the document and on the
+// link.
 var pace = progress.Pace{Stall: 2 * time.Second, Rate: 4 << 10}
 
-// HTTP is a Client that speaks to the platform over HTTP.
+// HTTP is a Client that accesses the platform over HTTP.
 type HTTP struct {
 	base   *url.URL
 	client *http.Client
-	// Calls counts the calls made, a waiting watch as one.
+	// Calls counts the calls made; a pending watch counts as one.
 	Calls atomic.Uint64
 }
 
@@ -93,14 +95,14 @@
 	return &HTTP{base: base, client: &http.Client{Transport: transport}}
 }
 
-// Read gives the value of a key.
+// Read returns the value of a key.
 func (c *HTTP) Read(ctx context.Context, key string) (Value, error) {
-	return c.value(ctx, key, nil, answerWithin)
+	return c.value(ctx, key, nil, answerTimeout)
 }
 
 // Watch waits for a version other than after.
 func (c *HTTP) Watch(ctx context.Context, key string, after uint64) (Value, error) {
-	return c.value(ctx, key, watchQuery(after), watchWait+answerWithin)
+	return c.value(ctx, key, watchQuery(after), watchWait+answerTimeout)
 }
 
 // WatchVMs waits for a version of the VM list other than after.
@@ -109,7 +111,7 @@
 	if after != 0 {
 		q = watchQuery(after)
 	}
-	v, err := c.get(ctx, "/v1/vms", q, watchWait+answerWithin)
+	v, err := c.get(ctx, "/v1/vms", q, watchWait+answerTimeout)
 	if err != nil {
 		return VMList{}, err
 	}
@@ -124,13 +126,13 @@
 	return url.Values{"after": {strconv.FormatUint(after, 10)}, "wait": {watchWait.String()}}
 }
 
-func (c *HTTP) value(ctx context.Context, key string, q url.Values, within time.Duration) (Value, error) {
-	return c.get(ctx, "/v1/values/"+key, q, within)
+func (c *HTTP) value(ctx context.Context, key string, q url.Values, timeout time.Duration) (Value, error) {
+	return c.get(ctx, "/v1/values/"+key, q, timeout)
 }
 
-// get reads a path. within is how long its answer may take to begin.
-func (c *HTTP) get(ctx context.Context, path string, q url.Values, within time.Duration) (Value, error) {
-	ctx, watchdog := progress.Watch(ctx, within)
+// get reads a path. timeout is how long the answer may take to begin.
+func (c *HTTP) get(ctx context.Context, path string, q url.Values, timeout time.Duration) (Value, error) {
+	ctx, watchdog := progress.Watch(ctx, timeout)
 	defer watchdog.Stop()
 	u := *c.base
 	u.Path = strings.TrimSuffix(u.Path, "/") + path
@@ -158,10 +160,11 @@
 	if len(text) > fleet.MaxDocument {
 		return Value{}, ErrTooLarge
 	}
-	// An absent version is 0: watches then return at once, and the caller's pace bounds them.
+	// A missing version is read as 0. Watches then return at once, and the caller's
+	// polling interval limits their rate.
 	version, _ := strconv.ParseUint(resp.Header.Get(versionField), 10, 64)
 	return Value{Text: text, Version: version}, nil
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *HTTP) Close() { c.client.CloseIdleConnections() }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -13,8 +13,9 @@
 	"github.com/limpetdock/limpetdock/internal/platform"
 )
 
-// The platform answers in ways that a node must tell apart, or not trust.
-func TestAnswersOfThePlatform(t *testing.T) {
+// Checks which answers of the platform are errors, and that a missing key and an
+// oversized value can be distinguished.
+func TestPlatformAnswersAndErrors(t *testing.T) {
 	cases := []struct {
 		name, version string
 		status        int
@@ -61,11 +62,11 @@
 	return p
 }
 
-// A watch says which version it knows; the first read of the list doesn't wait.
-func TestWatches(t *testing.T) {
-	var asked []string
+// A watch sends the known version; the first read of the VM list does not wait.
+func TestWatchSendsKnownVersion(t *testing.T) {
+	var requested []string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked = append(asked, r.URL.Query().Get("after"))
+		requested = append(requested, r.URL.Query().Get("after"))
 		_, _ = w.Write([]byte(`{"version":4,"vms":[{"name":"vm1","ip":"10.0.0.1","state":"leaving"}]}`))
 	}))
 	defer srv.Close()
@@ -77,11 +78,11 @@
 	}
 	_, err := p.Watch(t.Context(), "index", 9)
 	require.NoError(t, err)
-	require.Equal(t, []string{"", "4", "9"}, asked)
+	require.Equal(t, []string{"", "4", "9"}, requested)
 }
 
-// A platform that never answers must not hold a read for good.
-func TestAReadEndsWithItsContext(t *testing.T) {
+// Guards against a read that blocks forever when the platform never answers.
+func TestReadEndsWithItsContext(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer srv.Close()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/platform/slow_test.go
+++ b/internal/platform/slow_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pipes is a listener and a dialer over net.Pipe, for the time of a synctest bubble.
+// pipes is a listener and a dialer over net.Pipe, for use inside a synctest bubble.
 type pipes struct {
 	conns  chan net.Conn
 	once   sync.Once
@@ -36,19 +36,20 @@
 func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
 func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
-	here, there := net.Pipe()
-	p.conns <- there
-	return here, nil
+	near, far := net.Pipe()
+	p.conns <- far
+	return near, nil
 }
 
-// slowLink answers with text in a number of pieces, each after a pause.
+// slowLink answers with text in several pieces, with a pause before each.
 type slowLink struct {
 	text string
-	// begins is the pause before the answer begins, and pause that before each piece.
+	// begins is the delay before the answer begins; pause is the delay before each
+	// piece.
 	begins, pause time.Duration
 	pieces        int
-	// stands says that nothing follows the first half.
-	stands bool
+	// stalls is true if nothing follows the first half.
+	stalls bool
 	asked  int
 }
 
@@ -63,7 +64,7 @@
 	size := len(s.text) / s.pieces
 	for i := range s.pieces {
 		_ = http.NewResponseController(w).Flush()
-		if s.stands && i == s.pieces/2 {
+		if s.stalls && i == s.pieces/2 {
 			<-r.Context().Done()
 			return
 		}
@@ -83,8 +84,8 @@
 	}
 }
 
-// ask runs f with a client of a platform behind a slow link.
-func ask(t *testing.T, s *slowLink, f func(t *testing.T, c *HTTP)) {
+// withSlowLink calls f with a client whose platform is behind a slow link.
+func withSlowLink(t *testing.T, s *slowLink, f func(t *testing.T, c *HTTP)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &pipes{conns: make(chan net.Conn), closed: make(chan struct{})}
 		server := &http.Server{Handler: s}
@@ -117,16 +118,16 @@
 
 func vmsText() string { return `{"version":7,"vms":[]}` + strings.Repeat(" ", slowPieces*slowSize-22) }
 
-// Guards against an answer that is given up while it comes, as over a slow link, and is
-// asked for from its first byte again and again.
-func TestASlowAnswerOfThePlatformIsReadToItsEnd(t *testing.T) {
+// Guards against a read that aborts an answer still in transfer over a slow link,
+// and then requests it from the first byte over and over.
+func TestSlowAnswerIsReadToItsEnd(t *testing.T) {
 	for _, name := range []string{"Read", "Watch", "WatchVMs"} {
 		t.Run(name, func(t *testing.T) {
 			s := &slowLink{text: vmsText(), pause: slowPause, pieces: slowPieces}
 			if name != "Read" {
 				s.begins = watchWait
 			}
-			ask(t, s, func(t *testing.T, c *HTTP) {
+			withSlowLink(t, s, func(t *testing.T, c *HTTP) {
 				v, err := reads(c)[name]()
 				require.NoError(t, err)
 				require.EqualValues(t, 7, v.Version)
@@ -139,18 +140,18 @@
 	}
 }
 
-// Guards against a read that waits for good for an answer that doesn't begin, that stands
-// still half way, or of which a byte comes now and then.
-func TestAStalledAnswerOfThePlatformIsGivenUp(t *testing.T) {
+// Guards against a read that waits forever for an answer that never begins, that
+// stops halfway, or that arrives one byte at a time.
+func TestStalledAnswerIsAborted(t *testing.T) {
 	const never = 24 * time.Hour
 	for _, name := range []string{"Read", "Watch", "WatchVMs"} {
 		for _, s := range []*slowLink{
 			{text: vmsText(), begins: never, pieces: 1},
-			{text: vmsText(), pause: slowPause, pieces: slowPieces, stands: true},
+			{text: vmsText(), pause: slowPause, pieces: slowPieces, stalls: true},
 			{text: vmsText(), pause: time.Second, pieces: slowPieces * slowSize},
 		} {
 			t.Run(fmt.Sprintf("%s begins %v pieces %d", name, s.begins, s.pieces), func(t *testing.T) {
-				ask(t, s, func(t *testing.T, c *HTTP) {
+				withSlowLink(t, s, func(t *testing.T, c *HTTP) {
 					start := time.Now()
 					_, err := reads(c)[name]()
 					require.Error(t, err)
