--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a node does, for client_golang to expose. Label
-// sets are bounded: services as declared, kinds from the closed list.
+// Package metrics collects a node's metrics for client_golang to expose. Label sets
+// are bounded: services are those declared, kinds those of the closed list.
 package metrics
 
 import (
@@ -14,25 +14,26 @@
 	"github.com/limpetdock/limpetdock/internal/version"
 )
 
-// Labels that can't be names of services, which have no '_'.
+// Label values that can't be service names, since those contain no '_'.
 const (
-	// unknownService counts requests for no declared service: what callers send
-	// must not become a label.
+	// unknownService counts requests for undeclared services. Names sent by callers must
+	// not become label values, or the label set would be unbounded.
 	unknownService = "_unknown"
-	// otherServices counts for services beyond maxServices.
+	// otherServices counts requests of services beyond maxServices.
 	otherServices = "_other"
 )
 
-// maxServices bounds the label set over years of renamed services.
+// maxServices bounds the label set of a process that runs for years while services
+// are renamed.
 const maxServices = 1024
 
-// outcomeOK labels answers made by a backend server.
+// outcomeOK is the label of answers from a backend server.
 const outcomeOK = "backend"
 
-// Metrics holds a node's counters. Safe for concurrent use.
+// Metrics holds a node's metrics. It is safe for concurrent use.
 type Metrics struct {
-	// Registry has everything. Node has the plain counters and gauges of the node
-	// itself, few enough for a monitor that reads only the first kilobytes.
+	// Registry has all metrics. Node has only the unlabelled counters and gauges of the
+	// node itself, few enough for monitors that read only the first kilobytes.
 	Registry, Node *prometheus.Registry
 	requests       *prometheus.CounterVec
 	hops           *prometheus.CounterVec
@@ -40,13 +41,13 @@
 	forecast       *prometheus.HistogramVec
 	transfer       *prometheus.HistogramVec
 	now            func() time.Time
-	// services is replaced, never changed, when a service is first counted, so
-	// that requests find their counters without a lock.
+	// services is copied on write when a service is first counted, so that requests find
+	// their counters without a lock.
 	services atomic.Pointer[map[string]*service]
 	mu       sync.Mutex
 }
 
-// New returns counters in a registry of their own.
+// New returns metrics in a new registry.
 func New() *Metrics {
 	m := &Metrics{
 		Registry: prometheus.NewRegistry(), Node: prometheus.NewRegistry(),
@@ -82,7 +83,7 @@
 	return m
 }
 
-// Forecast counts how an answer's time compares with what was expected.
+// Forecast records the ratio of an answer's time to the expected time.
 func (m *Metrics) Forecast(name string, expected, took time.Duration) {
 	if expected > 0 {
 		m.service(name).forecast.Observe(took.Seconds() / expected.Seconds())
@@ -95,7 +96,8 @@
 	storeFailed   = "failed"
 )
 
-// StoreAnswer counts a call to the platform's store and how long its answer took to arrive.
+// StoreAnswer records a call to the platform's store and the time its answer took to
+// transfer.
 func (m *Metrics) StoreAnswer(answered bool, transfer time.Duration) {
 	outcome := storeAnswered
 	if !answered {
@@ -104,8 +106,8 @@
 	m.transfer.WithLabelValues(outcome).Observe(transfer.Seconds())
 }
 
-// Answered counts a request that was answered, by the backend server when k is
-// empty. An empty service is one that isn't declared.
+// Answered counts an answered request. An empty k is an answer from the backend
+// server; an empty name is a service that isn't declared.
 func (m *Metrics) Answered(name string, k kind.Kind, took time.Duration) {
 	s := m.service(name)
 	s.answered.inc(k)
@@ -115,12 +117,12 @@
 	}
 }
 
-// Hopped counts a target that was given up for another one.
+// Hopped counts a switch from one target to another.
 func (m *Metrics) Hopped(name string, k kind.Kind) {
 	m.service(name).hopped.inc(k)
 }
 
-// service finds the counters of a service.
+// service returns the counters of a service.
 func (m *Metrics) service(name string) *service {
 	if name == "" {
 		name = unknownService
@@ -151,12 +153,12 @@
 	return s
 }
 
-// Gauge registers a value that is read whenever the metrics are.
+// Gauge registers a gauge whose value is read at each scrape.
 func (m *Metrics) Gauge(name, help string, read func() float64) {
 	m.registerPlain(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
 
-// Counter registers a counter that is read whenever the metrics are.
+// Counter registers a counter whose value is read at each scrape.
 func (m *Metrics) Counter(name, help string, read func() float64) {
 	m.registerPlain(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, read))
 }
@@ -166,8 +168,8 @@
 	m.Node.MustRegister(c)
 }
 
-// LabelledFunc registers a counter with constant labels that is read whenever
-// the metrics are.
+// LabelledCounter registers a counter with constant labels whose value is read at
+// each scrape.
 func (m *Metrics) LabelledFunc(name, help string, labels map[string]string, read func() uint64) {
 	m.Registry.MustRegister(prometheus.NewCounterFunc(
 		prometheus.CounterOpts{Name: name, Help: help, ConstLabels: labels}, func() float64 { return float64(read()) }))
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -24,9 +24,9 @@
 	return string(text)
 }
 
-// A stranger asks for services with made-up names, or a later version sends a
-// kind that this one doesn't know. Were these labels, each would cost memory
-// and scrape bytes for good.
+// Guards against an unbounded label set: callers may send made-up service names, and
+// a later version may send kinds that this one doesn't know. As label values, each
+// would permanently cost memory and scrape size.
 func TestLabelsAreBounded(t *testing.T) {
 	m := New()
 	m.Answered("", kind.UnknownService, 0)
@@ -42,7 +42,7 @@
 	require.Contains(t, scrape(t, m), `service="_other"`)
 }
 
-func TestNamesFollowTheConventions(t *testing.T) {
+func TestCounterNamesEndInTotal(t *testing.T) {
 	m := New()
 	m.Answered("orders", "", time.Second)
 	m.Hopped("orders", kind.Overloaded)
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestCountingAllocatesNothing(t *testing.T) {
+func TestCountingDoesNotAllocate(t *testing.T) {
 	m := New()
 	m.Answered("orders", kind.Overloaded, time.Millisecond)
 	m.Hopped("orders", kind.Overloaded)
@@ -64,7 +64,7 @@
 	}))
 }
 
-func TestRecentRefusalsPass(t *testing.T) {
+func TestRecentRefusalsExpire(t *testing.T) {
 	m := New()
 	now := time.Unix(1_000_000, 0)
 	m.now = func() time.Time { return now }
--- a/internal/metrics/service.go
+++ b/internal/metrics/service.go
@@ -11,33 +11,33 @@
 	"github.com/limpetdock/limpetdock/internal/kind"
 )
 
-// kinds is the closed list in order, after the empty kind of an answer that a
-// backend server made. A counter's place in its row is its kind's place here.
+// kinds is the sorted closed list, preceded by the empty kind of answers from a
+// backend server. The index of a kind here is the index of its counter in a row.
 var kinds = func() []kind.Kind {
 	list := kind.All()
 	slices.Sort(list)
 	return append([]kind.Kind{""}, list...)
 }()
 
-var placeOf = func() map[kind.Kind]int {
-	places := make(map[kind.Kind]int, len(kinds))
+var kindIndex = func() map[kind.Kind]int {
+	indexes := make(map[kind.Kind]int, len(kinds))
 	for i, k := range kinds {
-		places[k] = i
+		indexes[k] = i
 	}
-	return places
+	return indexes
 }()
 
-// place gives a kind's place in a row. One that isn't in the closed list counts
-// as unknown: it must not become a label.
-func place(k kind.Kind) int {
-	if i, ok := placeOf[k]; ok {
+// indexOf returns the index of a kind in a row. A kind that isn't in the closed list
+// counts as OutcomeUnknown, since it must not become a label value.
+func indexOf(k kind.Kind) int {
+	if i, ok := kindIndex[k]; ok {
 		return i
 	}
-	return placeOf[kind.OutcomeUnknown]
+	return kindIndex[kind.OutcomeUnknown]
 }
 
-// service holds the resolved counters of one service, so that counting a
-// request looks up no labels.
+// service holds the resolved counters of one service, so that counting a request
+// needs no label lookup.
 type service struct {
 	answered, hopped  row
 	latency, forecast prometheus.Observer
@@ -52,17 +52,16 @@
 	}
 }
 
-// row is the counters of one service by kind. A counter comes into being when
-// it is first used: most kinds never happen in most services, and the scrape
-// must stay small.
+// row holds the counters of one service by kind. A counter is created on first use:
+// most kinds never occur in most services, and the scrape must stay small.
 type row struct {
 	vec      *prometheus.CounterVec
 	service  string
 	counters []atomic.Pointer[counter]
 }
 
-// counter is a counter of the scrape with its value at hand for the
-// administration API.
+// counter is an exposed counter together with its value, which the administration
+// API reads.
 type counter struct {
 	exposed prometheus.Counter
 	n       atomic.Uint64
@@ -78,10 +77,10 @@
 }
 
 func (r *row) inc(k kind.Kind) {
-	at := &r.counters[place(k)]
+	at := &r.counters[indexOf(k)]
 	c := at.Load()
 	if c == nil {
-		c = &counter{exposed: r.vec.WithLabelValues(r.service, label(kinds[place(k)]))}
+		c = &counter{exposed: r.vec.WithLabelValues(r.service, label(kinds[indexOf(k)]))}
 		if !at.CompareAndSwap(nil, c) {
 			c = at.Load()
 		}
@@ -96,7 +95,7 @@
 	return string(k)
 }
 
-// totals gives the counters in use, by label.
+// totals returns the counters in use, by label.
 func (r *row) totals() map[string]uint64 {
 	out := map[string]uint64{}
 	for i := range r.counters {
@@ -112,7 +111,7 @@
 const (
 	bucketLength = 10 * time.Second
 	buckets      = 6
-	// RecentWindow is how far back recent refusals are counted.
+	// RecentWindow is the period over which recent refusals are counted.
 	RecentWindow = buckets * bucketLength
 )
 
@@ -144,7 +143,7 @@
 		b.period = period
 		clear(b.counts)
 	}
-	b.counts[place(k)]++
+	b.counts[indexOf(k)]++
 }
 
 func (r *recent) totals(now time.Time) map[string]uint64 {
@@ -165,16 +164,17 @@
 	return out
 }
 
-// Usage is what a service's callers were answered.
+// Usage counts the answers to the callers of a service.
 type Usage struct {
-	// Answers are counted since the node's start, by kind or "backend".
+	// Answers counts all answers since the node started, by kind or "backend".
 	Answers map[string]uint64 `json:"answers"`
-	// Recent are the system's own answers of the last RecentWindow, by kind.
+	// Recent counts the answers of the last RecentWindow that the system itself made, by
+	// kind.
 	Recent map[string]uint64 `json:"recent_refusals"`
 }
 
-// Usage gives the counts of every service that was asked for, by name. What
-// was asked of no declared service stands under "_unknown".
+// Usage returns the counts of every service with requests, by name. Requests for
+// undeclared services are counted under "_unknown".
 func (m *Metrics) Usage() map[string]Usage {
 	out := map[string]Usage{}
 	now := m.now()
