--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -12,21 +12,23 @@
 	"github.com/limpetdock/limpetdock/internal/metrics"
 )
 
-// serverCounters count what the library would otherwise log, and what the
-// limits turn away.
+// serverCounters counts the errors that net/http would otherwise log, and the
+// connections and requests rejected by the limits.
 type serverCounters struct {
-	// errors are lines that net/http wanted to log.
+	// errors counts the lines that net/http would have logged.
 	errors atomic.Uint64
-	// accepted are connections taken.
+	// accepted counts accepted connections.
 	accepted atomic.Uint64
-	// refused are connections over the settings' limit per address.
+	// refused counts connections closed because of a limit on their number: the
+	// settings' limit per address, or the hard limit of the guard's port.
 	refused atomic.Uint64
-	// madeRoom are idle connections closed for new ones, noRoom requests refused
-	// because all connections were busy.
-	madeRoom, noRoom atomic.Uint64
-	// stalled are bodies and answers whose other end stopped moving.
+	// idleClosed counts idle connections closed in favour of new ones; allBusy counts
+	// requests refused because all connections were busy.
+	idleClosed, allBusy atomic.Uint64
+	// stalled counts exchanges that timed out because the peer stopped sending or
+	// reading.
 	stalled atomic.Uint64
-	// panics are handlers that broke down; the first one is logged with its stack.
+	// panics counts handlers that panicked; the first one is logged with its stack.
 	panics     atomic.Uint64
 	firstPanic sync.Once
 	log        logr.Logger
@@ -41,21 +43,21 @@
 	m.LabelledFunc("limpetdock_http_connections_refused_total",
 		"Connections closed at once because their address had too many.", labels, c.refused.Load)
 	m.LabelledFunc("limpetdock_http_idle_closed_total",
-		"Idle connections closed for new ones at the target's limit of connections.", labels, c.madeRoom.Load)
+		"Idle connections closed for new ones at the target's limit of connections.", labels, c.idleClosed.Load)
 	m.LabelledFunc("limpetdock_http_no_room_total",
-		"Requests refused because the target's connections were all busy.", labels, c.noRoom.Load)
+		"Requests refused because the target's connections were all busy.", labels, c.allBusy.Load)
 	m.LabelledFunc("limpetdock_http_panics_total",
 		"Requests whose handler broke down; a fault of the program.", labels, c.panics.Load)
 	m.LabelledFunc("limpetdock_http_stalled_total",
 		"Exchanges cut because the other end stopped sending or reading.", labels, c.stalled.Load)
 }
 
-// panicPrefix begins the line that net/http logs for a handler that panicked.
+// panicPrefix is the prefix of the line that net/http logs when a handler panics.
 const panicPrefix = "http: panic serving"
 
-// Write counts a line that the server wanted to log. Callers can bring such
-// lines about at will, with a bad chunk or a broken handshake, so none is
-// written, but for the first panic, whose stack is needed to mend it.
+// Write counts a line that net/http would have logged. Clients can provoke such
+// lines at will, with a bad chunk or a broken handshake, so none is written except
+// for the first panic, whose stack is needed to fix the fault.
 func (c *serverCounters) Write(line []byte) (int, error) {
 	if !bytes.HasPrefix(line, []byte(panicPrefix)) {
 		c.errors.Add(1)
@@ -74,12 +76,13 @@
 	}
 }
 
-// libraryLog counts the lines that libraries write by the standard logger.
-// net/http's client writes one for each answer that nobody asked for, so
-// a backend server could fill a node's log.
+// libraryLog counts the lines that libraries write to the standard logger.
+// net/http's client writes one for each unsolicited response, so a backend server
+// could otherwise fill a node's log.
 type libraryLog struct{ lines atomic.Uint64 }
 
-// countLibraryLog takes over the standard logger of the process.
+// countLibraryLog redirects the output of the process's standard logger to a
+// counter.
 func countLibraryLog(m *metrics.Metrics) *libraryLog {
 	l := &libraryLog{}
 	m.Counter("limpetdock_library_log_lines_total", "Lines that libraries wanted to log.",
@@ -88,7 +91,7 @@
 	return l
 }
 
-// Write counts a line instead of writing it.
+// Write counts a line and discards it.
 func (l *libraryLog) Write(line []byte) (int, error) {
 	l.lines.Add(1)
 	return len(line), nil
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -8,21 +8,22 @@
 	"sync/atomic"
 )
 
-// drainer is an http.Handler that can tell its clients to close their
-// connections. A server that just closed idle ones would race with requests on
-// their way: the client would see a reset and could not tell whether its
-// request ran. Told with an answer, it closes them itself (RFC 9112, section 9.6).
+// drainer is an http.Handler that can ask its clients to close their connections. If
+// the server closed idle connections itself, it would race with requests in transit:
+// the client would see a reset and could not know whether its request ran. After a
+// response with "Connection: close" the client closes the connection itself (RFC
+// 9112, section 9.6).
 type drainer struct {
-	handler  http.Handler
-	draining atomic.Bool
-	mu       sync.Mutex
-	open     int
-	none     chan struct{}
+	handler   http.Handler
+	draining  atomic.Bool
+	mu        sync.Mutex
+	open      int
+	allClosed chan struct{}
 }
 
 func newDrainer(h http.Handler) *drainer { return &drainer{handler: h} }
 
-// ServeHTTP hands the request on.
+// ServeHTTP passes the request to the wrapped handler.
 func (d *drainer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if d.draining.Load() {
 		w.Header().Set("Connection", "close")
@@ -30,7 +31,7 @@
 	d.handler.ServeHTTP(w, r)
 }
 
-// connState counts open connections; it is a server's ConnState hook.
+// connState counts open connections. It is the server's ConnState hook.
 func (d *drainer) connState(_ net.Conn, state http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -42,13 +43,14 @@
 	default:
 		return
 	}
-	if d.open == 0 && d.none != nil {
-		close(d.none)
-		d.none = nil
+	if d.open == 0 && d.allClosed != nil {
+		close(d.allClosed)
+		d.allClosed = nil
 	}
 }
 
-// drain tells clients to close, and waits until all have or ctx ends.
+// drain asks clients to close their connections and waits until all are closed or
+// ctx is done.
 func (d *drainer) drain(ctx context.Context) {
 	d.draining.Store(true)
 	d.mu.Lock()
@@ -56,11 +58,11 @@
 		d.mu.Unlock()
 		return
 	}
-	none := make(chan struct{})
-	d.none = none
+	allClosed := make(chan struct{})
+	d.allClosed = allClosed
 	d.mu.Unlock()
 	select {
-	case <-none:
+	case <-allClosed:
 	case <-ctx.Done():
 	}
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -15,10 +15,10 @@
 	"github.com/limpetdock/limpetdock/internal/core"
 )
 
-// A node stops while a caller keeps a connection open. If the node just closed
-// it, a booking sent at that moment would see a reset, and nobody could tell
-// whether it ran. Told to close with its next answer, the caller closes it.
-func TestCallersAreToldToClose(t *testing.T) {
+// Guards against a reset of a request that is in transit while the node stops:
+// nobody could know whether a booking sent at that moment ran. Asked to close by the
+// next answer, the caller closes the connection itself.
+func TestDrainAsksCallersToClose(t *testing.T) {
 	d := newDrainer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	s := httptest.NewUnstartedServer(d)
 	s.Config.ConnState = d.connState
@@ -44,12 +44,13 @@
 		t.Fatal("drained while a connection is open")
 	default:
 	}
-	require.True(t, get().Close, "told to close")
+	require.True(t, get().Close, "asked to close")
 	<-drained
 }
 
-// A caller keeps its connection and sends nothing: the grace ends the wait.
-func TestTheGraceEndsTheWait(t *testing.T) {
+// A caller that keeps its connection open without sending anything must not block a
+// stop beyond the grace period.
+func TestDrainEndsWithGracePeriod(t *testing.T) {
 	d := newDrainer(nil)
 	d.connState(nil, http.StateNew)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -58,14 +59,14 @@
 	require.True(t, d.draining.Load())
 }
 
-// The health endpoint lags and misleads. Only its own word, or connections
-// refused several times in a row, change what the node makes of it.
+// The health endpoint may lag or be wrong. The state changes only on its explicit
+// report, or after several refused connections in a row.
 func TestBackendState(t *testing.T) {
 	refused := error(syscall.ECONNREFUSED)
-	silent := errors.New("timeout")
+	timedOut := errors.New("timeout")
 	type check struct {
-		said string
-		err  error
+		reported string
+		err      error
 	}
 	cases := []struct {
 		name   string
@@ -75,20 +76,20 @@
 		{"live", []check{{"live", nil}}, core.BackendLive},
 		{"draining", []check{{"live", nil}, {"draining", nil}}, core.BackendDraining},
 		{"starting", []check{{"starting", nil}}, core.BackendStarting},
-		{"another word", []check{{"draining", nil}, {"fine", nil}}, core.BackendLive},
-		{"silent while draining", []check{{"draining", nil}, {"", silent}}, core.BackendDraining},
-		{"silent while live", []check{{"live", nil}, {"", silent}, {"", silent}, {"", silent}, {"", silent}}, core.BackendLive},
+		{"unknown state", []check{{"draining", nil}, {"fine", nil}}, core.BackendLive},
+		{"timeout while draining", []check{{"draining", nil}, {"", timedOut}}, core.BackendDraining},
+		{"timeout while live", []check{{"live", nil}, {"", timedOut}, {"", timedOut}, {"", timedOut}, {"", timedOut}}, core.BackendLive},
 		{"refused twice", []check{{"live", nil}, {"", refused}, {"", refused}}, core.BackendLive},
 		{"refused three times", []check{{"live", nil}, {"", refused}, {"", refused}, {"", refused}}, core.BackendDown},
 		{"refused, but not in a row", []check{{"", refused}, {"", refused}, {"live", nil}, {"", refused}}, core.BackendLive},
-		{"back", []check{{"", refused}, {"", refused}, {"", refused}, {"live", nil}}, core.BackendLive},
+		{"live again", []check{{"", refused}, {"", refused}, {"", refused}, {"live", nil}}, core.BackendLive},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var h healthCheck
 			var got core.BackendState
 			for _, one := range c.checks {
-				got = h.state(one.said, one.err)
+				got = h.state(one.reported, one.err)
 			}
 			require.Equal(t, c.want, got)
 		})
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -12,7 +12,7 @@
 	"github.com/limpetdock/limpetdock/internal/platform"
 )
 
-// registerGauges exposes the counters that the parts of a node keep themselves.
+// registerGauges registers the counters that the components of a node maintain.
 func registerGauges(m *metrics.Metrics, c *link.Counters, p *platform.HTTP, l *control.Loop, e *entry.Entry, g *guard.Guard) {
 	exposeGuard(m, g)
 	exposeAttempts(m, e, g)
--- a/internal/node/graceful_test.go
+++ b/internal/node/graceful_test.go
@@ -13,7 +13,7 @@
 )
 
 // dial opens a connection to the callers' port of a node.
-func dial(t *testing.T, n *running) (net.Conn, *bufio.Reader) {
+func dial(t *testing.T, n *testNode) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", n.set.Callers)
 	require.NoError(t, err)
@@ -28,10 +28,9 @@
 	require.NoError(t, err)
 }
 
-// A ground crew uploads a chart and a station books cargo when the platform
-// stops the node. Were either cut, the chart would be lost, and nobody could
-// tell whether the crate is booked.
-func TestAGracefulStopCutsNothing(t *testing.T) {
+// Guards against a stop that cuts requests in flight: an upload would be lost, and
+// nobody could know whether a booking ran.
+func TestGracefulStopFinishesRequestsInFlight(t *testing.T) {
 	b := newBackend(t)
 	n := start(t, b, logr.Logger{})
 	booking, finish := make(chan struct{}), make(chan struct{})
@@ -60,7 +59,7 @@
 			_ = conn.Close()
 		}
 		return err != nil
-	}, time.Minute, time.Millisecond, "the stop has begun: nobody new is taken")
+	}, time.Minute, time.Millisecond, "the callers' port closes")
 	send(t, upload, "4\r\nlast\r\n0\r\n\r\n")
 	close(finish)
 	for _, answers := range []*bufio.Reader{uploadAnswers, bookAnswers} {
@@ -73,7 +72,7 @@
 	}
 	<-stopped
 	var bodies []string
-	for _, r := range b.taken() {
+	for _, r := range b.takeRequests() {
 		bodies = append(bodies, r.Body)
 	}
 	require.ElementsMatch(t, []string{"firstlast", "crate"}, bodies)
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// healthEvery is how often the own backend server is asked how it is.
-	healthEvery   = 100 * time.Millisecond
-	healthTimeout = time.Second
-	// downAfter refused connections in a row the backend server counts as down.
-	downAfter = 3
+	// healthInterval is the interval between health checks of the local backend server.
+	healthInterval = 100 * time.Millisecond
+	healthTimeout  = time.Second
+	// downThreshold is the number of refused connections in a row after which the
+	// backend server counts as down.
+	downThreshold = 3
 )
 
-// watchBackend asks the backend server beside the node how it is. It never
-// leaves the VM, so it costs nothing of the measuring budget.
-func (p parts) watchBackend(ctx context.Context) {
-	ticker := time.NewTicker(healthEvery)
+// watchBackend polls the health endpoint of the local backend server. The traffic
+// never leaves the VM, so it doesn't count towards the measuring budget.
+func (p params) watchBackend(ctx context.Context) {
+	ticker := time.NewTicker(healthInterval)
 	defer ticker.Stop()
 	var h healthCheck
 	for {
@@ -29,27 +30,28 @@
 			return
 		case <-ticker.C:
 		}
-		ask, cancel := context.WithTimeout(ctx, healthTimeout)
-		said, err := p.Guard.Health(ask, p.Settings.Health)
+		check, cancel := context.WithTimeout(ctx, healthTimeout)
+		reported, err := p.Guard.Health(check, p.Settings.Health)
 		cancel()
-		p.Loop.SetBackend(h.state(said.State, err))
+		p.Loop.SetBackend(h.state(reported.State, err))
 	}
 }
 
-// healthCheck turns the answers of the health endpoint, which may lag or
-// mislead, into a state.
+// healthCheck derives a state from the answers of the health endpoint, which may lag
+// or be wrong.
 type healthCheck struct {
 	last    core.BackendState
 	refused int
 }
 
-// state takes the server's own word that it drains or starts. A server that
-// refuses connections is down, for then no request can reach it either. Any
-// other failure leaves the state as it was: requests themselves will tell.
-func (h *healthCheck) state(said string, err error) core.BackendState {
+// state applies the server's own report that it is draining or starting. A server
+// that refuses connections is down, because no request can reach it either. Any
+// other failure leaves the state unchanged; the outcomes of requests show whether
+// the server works.
+func (h *healthCheck) state(reported string, err error) core.BackendState {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		h.refused++
-		if h.refused >= downAfter {
+		if h.refused >= downThreshold {
 			h.last = core.BackendDown
 		}
 		return h.last
@@ -58,7 +60,7 @@
 	if err != nil {
 		return h.last
 	}
-	switch said {
+	switch reported {
 	case "draining":
 		h.last = core.BackendDraining
 	case "starting":
--- a/internal/node/linger_test.go
+++ b/internal/node/linger_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller's connection is in the backlog of a port that closes because its
-// node stops, and its request is on the way. It must be answered, not reset.
-func TestAClosingPortServesItsBacklog(t *testing.T) {
+// Guards against a reset of connections that are in the backlog of a port while its
+// node stops, with their requests in transit.
+func TestClosingPortServesItsBacklog(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	l := &lingeringListener{TCPListener: inner.(*net.TCPListener)}
+	l := &backlogListener{TCPListener: inner.(*net.TCPListener)}
 	const waiting = 20
 	conns := make([]net.Conn, waiting)
 	for i := range conns {
--- a/internal/node/main.go
+++ b/internal/node/main.go
@@ -12,17 +12,18 @@
 	"github.com/limpetdock/limpetdock/internal/settings"
 )
 
-// Main runs the daemon with command-line arguments and gives its exit code.
+// Main runs the daemon with the given command-line arguments and returns its exit
+// code.
 func Main(args []string) int {
 	return daemon.Main("limpetdockd", args, settings.Load, func(_ string, set *settings.Settings) int { return serve(set) })
 }
 
 func serve(set *settings.Settings) int {
-	tuneCollector()
+	tuneGC()
 	log := newLogger(set.LogLevel)
 	app := fx.New(Module, fx.NopLogger, fx.Supply(set),
 		fx.Provide(func() logr.Logger { return log }),
-		fx.StopTimeout(set.StopGrace+set.StopLimit+stopSlack))
+		fx.StopTimeout(set.StopGrace+set.StopLimit+stopMargin))
 	start, cancel := context.WithTimeout(context.Background(), app.StartTimeout())
 	defer cancel()
 	if err := app.Start(start); err != nil {
--- a/internal/node/measure.go
+++ b/internal/node/measure.go
@@ -9,7 +9,8 @@
 	"github.com/limpetdock/limpetdock/internal/metrics"
 )
 
-// registerMeasuring shows what measuring and retrying cost.
+// registerMeasuring registers the metrics for the traffic caused by measuring,
+// retries and hedging.
 func registerMeasuring(m *metrics.Metrics, b *budget.Measuring, e *entry.Entry, g *guard.Guard) {
 	spent := b.Spent()
 	m.Counter("limpetdock_measuring_requests_total", "Probes sent.",
@@ -45,7 +46,7 @@
 		"Second copies not sent because of the budget, or because targets refuse.", []string{"service"}, nil)
 )
 
-// retries collects the use of the retry budgets.
+// retries is a collector for the use of the retry and hedge budgets.
 type retries struct{ entry *entry.Entry }
 
 // Describe implements prometheus.Collector.
@@ -66,7 +67,7 @@
 		count(retriesDesc, u.Granted)
 		count(retriesDeniedDesc, u.Denied)
 		if u.Hedges == (budget.HedgeCounts{}) {
-			// Most services of most nodes send none, and the scrape must stay small.
+			// Most services of most nodes send no hedges, and the scrape must stay small.
 			continue
 		}
 		count(hedgesDesc, u.Hedges.Sent)
--- a/internal/node/memory.go
+++ b/internal/node/memory.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// gcPercent lets the heap grow to five times what is live before it is
-	// collected. A node's live heap is a few megabytes, and each collection holds
-	// up the calls under way, which shows in their 99th percentile.
+	// gcPercent lets the heap grow to five times the live heap before a collection. A
+	// node's live heap is a few megabytes, and each collection delays the calls in
+	// progress, which shows in their 99th percentile.
 	gcPercent = 400
-	// memoryLimit is where the collector works harder whatever gcPercent says, in
-	// bytes: well under the 128 MB that a node may take.
+	// memoryLimit is the heap size, in bytes, above which the collector runs more often
+	// regardless of gcPercent. It is well below the 128 MB that a node may use.
 	memoryLimit = 96 << 20
 )
 
-// tuneCollector trades memory that a node may use for fewer collections. GOGC
-// and GOMEMLIMIT of the environment go first.
-func tuneCollector() {
+// tuneGC configures the garbage collector to use more memory and collect less often.
+// The environment variables GOGC and GOMEMLIMIT take precedence.
+func tuneGC() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node puts a node together out of its roles and runs it (uber/fx).
+// Package node assembles a node from its components and runs it (uber/fx).
 package node
 
 import (
@@ -25,8 +25,8 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// Module provides every part of a node. It needs *settings.Settings and
-// logr.Logger from outside.
+// Module provides every component of a node. *settings.Settings and logr.Logger must
+// be supplied by the caller.
 var Module = fx.Options(
 	fx.Provide(
 		clock.New, newSelf, newGuard, newEntry, newLoop, newDialer, newServers,
@@ -39,9 +39,9 @@
 	fx.Invoke(registerGauges, registerMeasuring, func(*libraryLog) {}, run, func(e *entry.Entry, l *control.Loop) { e.ReportSuspects(l) }),
 )
 
-// newSelf draws the node's incarnation: milliseconds since 1970 with random low
-// bits, so that a restarted node's is higher as long as its clock doesn't step
-// back, and never the same.
+// newSelf generates the node's incarnation: milliseconds since 1970, followed by
+// random low bits. A restarted node has a higher incarnation as long as its clock
+// isn't set back, and never the same one.
 func newSelf(s *settings.Settings) core.Self {
 	const randomBits = 20
 	incarnation := uint64(time.Now().UnixMilli())<<randomBits | uint64(rand.Uint32()>>(32-randomBits))
@@ -80,7 +80,7 @@
 	})
 }
 
-type parts struct {
+type params struct {
 	fx.In
 	Settings *settings.Settings
 	Servers  *servers
@@ -93,7 +93,7 @@
 	Shutdown fx.Shutdowner
 }
 
-func run(lc fx.Lifecycle, p parts) {
+func run(lc fx.Lifecycle, p params) {
 	ctx, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -27,25 +27,24 @@
 	"github.com/limpetdock/limpetdock/internal/settings"
 )
 
-// Every node that a test starts is stopped in it, and a stop must leave nothing
-// running: a goroutine that stays would hold a connection, or act on what it
-// knew before.
+// Every test stops the nodes that it starts, and a stop must not leak goroutines:
+// they would keep connections open or act on outdated state.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// seen is a request as the backend server got it.
-type seen struct {
+// recordedRequest is a request as received by the backend server.
+type recordedRequest struct {
 	Method, Path, Body string
 	Header             http.Header
 	Chunked            bool
 }
 
-// backend is a backend server that remembers its requests.
+// backend is a backend server that records its requests.
 type backend struct {
 	*httptest.Server
 	mu     sync.Mutex
-	got    []seen
+	got    []recordedRequest
 	answer http.HandlerFunc
-	// uploads counts the uploads of which a part has come.
+	// uploads counts the uploads of which some bytes have arrived.
 	uploads atomic.Int32
 }
 
@@ -80,7 +79,7 @@
 		}
 	}
 	b.mu.Lock()
-	b.got = append(b.got, seen{r.Method, r.URL.Path, body.String(), r.Header.Clone(), len(r.TransferEncoding) > 0})
+	b.got = append(b.got, recordedRequest{r.Method, r.URL.Path, body.String(), r.Header.Clone(), len(r.TransferEncoding) > 0})
 	answer := b.answer
 	b.mu.Unlock()
 	if answer != nil {
@@ -88,8 +87,8 @@
 	}
 }
 
-// taken gives the requests since it was last called.
-func (b *backend) taken() []seen {
+// takeRequests returns the requests recorded since the last call.
+func (b *backend) takeRequests() []recordedRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	got := b.got
@@ -97,7 +96,7 @@
 	return got
 }
 
-// newPlatform serves a configuration and a list of VMs that never change.
+// newPlatform serves a configuration and a VM list that never change.
 func newPlatform(t *testing.T, f fleet.Fleet, vms ...platform.VM) *httptest.Server {
 	pub, err := f.Print()
 	require.NoError(t, err)
@@ -106,7 +105,7 @@
 	require.NoError(t, err)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("after") != "" {
-			<-r.Context().Done() // a watch on what doesn't change
+			<-r.Context().Done() // a watch on an unchanging value
 			return
 		}
 		w.Header().Set("X-Version", "1")
@@ -124,8 +123,8 @@
 	return srv
 }
 
-// running is a whole node in this process.
-type running struct {
+// testNode is a complete node in this process.
+type testNode struct {
 	set     *settings.Settings
 	servers *servers
 	entry   *entry.Entry
@@ -153,17 +152,18 @@
 	}
 }
 
-// start runs a node beside b, waits until it serves, and stops it at the end.
-func start(t *testing.T, b *backend, log logr.Logger) *running {
+// start starts a node in front of b, waits until it is ready, and stops it at the
+// end of the test.
+func start(t *testing.T, b *backend, log logr.Logger) *testNode {
 	t.Helper()
-	// An address of its own, so that the fixed ports are free: deployments of
-	// other tests use lower third octets.
+	// Uses a random address so that the fixed ports are free. Deployments in other tests
+	// use lower third octets.
 	ip := fmt.Sprintf("127.%d.%d.%d", 2+rand.IntN(250), 230+rand.IntN(20), 1+rand.IntN(250))
 	p := newPlatform(t, testFleet(), platform.VM{Name: "orders-1", IP: ip, State: platform.VMLive})
-	n := &running{set: &settings.Settings{
+	n := &testNode{set: &settings.Settings{
 		VM: "orders-1", Region: "rs", Zone: "rs-a", Fleet: "shop",
 		Callers: ip + ":7100", Guard: ip + ":7200", Control: ip + ":7300", Admin: ip + ":7400",
-		Backend: parsed(t, b.URL), Platform: parsed(t, p.URL), StopLimit: 10 * time.Second, ConnsPerIP: 64, Health: "/healthz",
+		Backend: parseURL(t, b.URL), Platform: parseURL(t, p.URL), StopLimit: 10 * time.Second, ConnsPerIP: 64, Health: "/healthz",
 	}}
 	if log.GetSink() == nil {
 		log = funcr.New(func(_, _ string) { n.lines.Add(1) }, funcr.Options{})
@@ -184,11 +184,11 @@
 		n.servers.callers.server.Handler.ServeHTTP(rec, req)
 		return rec.Code == http.StatusOK
 	}, 20*time.Second, 10*time.Millisecond)
-	b.taken()
+	b.takeRequests()
 	return n
 }
 
-func parsed(t *testing.T, text string) *url.URL {
+func parseURL(t *testing.T, text string) *url.URL {
 	u, err := url.Parse(text)
 	require.NoError(t, err)
 	return u
@@ -199,6 +199,6 @@
 	n := start(t, b, logr.Logger{})
 	view := n.entry.View()
 	require.Equal(t, 10*time.Second, stopLimit(10*time.Second, nil), "before any configuration")
-	require.Equal(t, 10*time.Second, stopLimit(10*time.Second, view), "the settings' is shorter")
+	require.Equal(t, 10*time.Second, stopLimit(10*time.Second, view), "the limit in the settings is shorter")
 	require.Equal(t, 40*time.Second, stopLimit(time.Minute, view), "the declared drain time is shorter")
 }
--- a/internal/node/perip.go
+++ b/internal/node/perip.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// perIPListener closes connections of an address that has too many open.
+// perIPListener limits the number of open connections per remote address and closes
+// those beyond the limit.
 type perIPListener struct {
 	net.Listener
 	limit    int
@@ -18,7 +19,7 @@
 	return &perIPListener{Listener: l, limit: limit, counters: c, open: map[string]int{}}
 }
 
-// Accept gives the next connection whose address has room.
+// Accept returns the next connection whose address is below the limit.
 func (l *perIPListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -26,16 +27,16 @@
 			return nil, err
 		}
 		ip, _, err := net.SplitHostPort(conn.RemoteAddr().String())
-		if err != nil || l.enter(ip) {
+		if err != nil || l.acquire(ip) {
 			l.counters.accepted.Add(1)
-			return &countedConn{Conn: conn, leave: sync.OnceFunc(func() { l.leave(ip) })}, nil
+			return &countedConn{Conn: conn, release: sync.OnceFunc(func() { l.release(ip) })}, nil
 		}
 		l.counters.refused.Add(1)
 		_ = conn.Close()
 	}
 }
 
-func (l *perIPListener) enter(ip string) bool {
+func (l *perIPListener) acquire(ip string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open[ip] >= l.limit {
@@ -45,7 +46,7 @@
 	return true
 }
 
-func (l *perIPListener) leave(ip string) {
+func (l *perIPListener) release(ip string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open[ip]--; l.open[ip] <= 0 {
@@ -53,14 +54,14 @@
 	}
 }
 
-// countedConn leaves its listener's count once, when it is closed.
+// countedConn decrements its listener's count once, when it is closed.
 type countedConn struct {
 	net.Conn
-	leave func()
+	release func()
 }
 
 func (c *countedConn) Close() error {
 	err := c.Conn.Close()
-	c.leave()
+	c.release()
 	return err
 }
--- a/internal/node/port.go
+++ b/internal/node/port.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// headerTimeout bounds how long a caller may take to send its headers.
+	// headerTimeout limits the time a caller may take to send its headers.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxHeader bounds a request's headers, in bytes; more is answered 431. The
-	// library adds 4096 to it.
+	// maxHeader limits the size of a request's headers, in bytes; larger ones are
+	// answered with 431. net/http adds 4096 to it.
 	maxHeader = 32 << 10
 )
 
-// httpPort is an HTTP server on one address, with the limits that hold towards
-// strangers.
+// httpPort is an HTTP server on one address, with limits that protect it from
+// untrusted clients.
 type httpPort struct {
 	addr     string
 	server   *http.Server
@@ -29,7 +29,7 @@
 	counters *serverCounters
 	perIP    int
 	listener net.Listener
-	// ended is closed once no connection is accepted any more.
+	// ended is closed once the port has stopped accepting connections.
 	ended chan struct{}
 }
 
@@ -50,13 +50,13 @@
 		return err
 	}
 	if tcp, ok := l.(*net.TCPListener); ok {
-		l = &lingeringListener{TCPListener: tcp}
+		l = &backlogListener{TCPListener: tcp}
 	}
 	p.listener = newPerIPListener(l, p.perIP, p.counters)
 	return nil
 }
 
-// serve serves the port until it is closed; any other end is an error.
+// serve serves the port until it is closed; any other end is returned as an error.
 func (p *httpPort) serve() error {
 	defer close(p.ended)
 	err := p.server.Serve(p.listener)
@@ -66,22 +66,22 @@
 	return err
 }
 
-// stopAccepting takes what is in the backlog and then no more. It must come
-// before the server's Shutdown: from then on the library drops every request that
-// it reads, without an answer.
+// stopAccepting accepts the connections in the backlog and then closes the listener.
+// It must be called before the server's Shutdown, because from then on net/http
+// drops every request it reads without an answer.
 func (p *httpPort) stopAccepting() {
 	_ = p.listener.Close()
 	<-p.ended
 }
 
-// onlyFleet refuses requests that don't carry the fleet's name. An address is
-// given to another fleet's VM sooner or later, and an entry with an old list of
-// VMs would have that fleet's servers run its requests. The name is no secret:
-// whoever knows it passes.
-func onlyFleet(fleet string, h http.Handler) http.Handler {
+// requireFleet refuses requests that don't carry the fleet's name. Addresses are
+// reused by VMs of other fleets, and an entry with an outdated VM list would
+// otherwise run its requests on that fleet's servers. The name is no secret and is
+// not used for authentication.
+func requireFleet(fleet string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(headers.Fleet) != fleet {
-			kind.Write(w, kind.New(kind.WrongFleet, "this port takes requests of the fleet's own nodes only"))
+			kind.Write(w, kind.New(kind.WrongFleet, "this port accepts requests from nodes of its own fleet only"))
 			return
 		}
 		h.ServeHTTP(w, r)
--- a/internal/node/ports_test.go
+++ b/internal/node/ports_test.go
@@ -16,8 +16,8 @@
 	"github.com/limpetdock/limpetdock/internal/headers"
 )
 
-// raw sends bytes to an address and gives the answers that come until the
-// connection is closed, for which the last request must ask.
+// raw sends bytes to an address and returns the answers received until the
+// connection is closed. The last request must ask for the close.
 func raw(addr, text string) (statuses []int, answers []*http.Response) {
 	conn, err := net.DialTimeout("tcp", addr, 20*time.Second)
 	if err != nil {
@@ -27,7 +27,7 @@
 	if conn.SetDeadline(time.Now().Add(20*time.Second)) != nil {
 		return nil, nil
 	}
-	// A server that refuses may close before it has read all.
+	// A server that refuses a request may close the connection before reading all of it.
 	_, _ = io.WriteString(conn, text)
 	r := bufio.NewReader(conn)
 	for {
@@ -41,28 +41,29 @@
 	}
 }
 
-// sentinel follows on the same connection: it is answered only when the node
-// took the end of the request before it for what it was.
+// sentinel is a second request on the same connection. It is answered only if the
+// node found the correct end of the previous request.
 const sentinel = "GET /sentinel HTTP/1.1\r\nHost: orders\r\nConnection: close\r\n\r\n"
 
 const smuggled = "GET /smuggled HTTP/1.1\r\nHost: orders\r\n\r\n"
 
-// A caller hides a second request in what it says is the body of the first. A
-// node and a backend server that disagree over where the first ends run the
-// second one, past every rule of its route, or answer it to another caller.
-// Each shape must be refused, or reach the backend server with one meaning.
-func TestSmugglingShapes(t *testing.T) {
+// Guards against request smuggling: a caller hides a second request in the supposed
+// body of the first. If the node and the backend server disagree about where the
+// first request ends, the second one runs without the rules of its route, or its
+// answer goes to another caller. Each malformed request must be refused, or reach
+// the backend server with exactly one interpretation.
+func TestRequestSmugglingIsPrevented(t *testing.T) {
 	const put = "PUT /uploads/x HTTP/1.1\r\nHost: orders\r\n"
 	type passed struct{ body string }
-	// midway is a fault found while the body streams: the answer is a refusal
-	// or an unknown outcome, never a success.
+	// midway stands for an error found while the body is streamed: the answer is a
+	// refusal or an unknown outcome, never a success.
 	const midway = -1
 	tests := map[string]struct {
 		text string
-		// refused is the status of a refusal; the backend server must have seen
-		// no whole request. 0 is for one that is passed on.
+		// refused is the status of a refusal; the backend server must not have received a
+		// complete request. 0 is for a request that is forwarded.
 		refused int
-		// passed is the one request that the backend server must have seen.
+		// passed is the one request that the backend server must have received.
 		passed *passed
 	}{
 		"both lengths, chunks win": {put + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", 0, &passed{"hello"}},
@@ -76,7 +77,7 @@
 		"a negative length":       {put + "Content-Length: -5\r\n\r\nhello", 400, nil},
 		"a hexadecimal length":    {put + "Content-Length: 0x5\r\n\r\nhello", 400, nil},
 		"an empty length":         {put + "Content-Length: \r\n\r\n" + smuggled, 400, nil},
-		"a coding in odd case":    {put + "Transfer-Encoding: ChUnKeD\r\n\r\n5\r\nhello\r\n0\r\n\r\n", 0, &passed{"hello"}},
+		"a coding in mixed case":  {put + "Transfer-Encoding: ChUnKeD\r\n\r\n5\r\nhello\r\n0\r\n\r\n", 0, &passed{"hello"}},
 		"an unknown coding":       {put + "Transfer-Encoding: xchunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", 501, nil},
 		"identity":                {put + "Transfer-Encoding: identity\r\nContent-Length: 5\r\n\r\nhello", 501, nil},
 		"two codings":             {put + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 501, nil},
@@ -95,8 +96,8 @@
 		"a high byte in a name":         {put + "X-\xffA: b\r\n\r\n", 400, nil},
 		"a bad chunk length":            {put + "Transfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", midway, nil},
 		"a signed chunk length":         {put + "Transfer-Encoding: chunked\r\n\r\n+5\r\nhello\r\n0\r\n\r\n", midway, nil},
-		"a chunk longer than said":      {put + "Transfer-Encoding: chunked\r\n\r\n3\r\nhello\r\n0\r\n\r\n", midway, nil},
-		"a chunk length beyond all":     {put + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\nhello\r\n0\r\n\r\n", midway, nil},
+		"a chunk longer than declared":  {put + "Transfer-Encoding: chunked\r\n\r\n3\r\nhello\r\n0\r\n\r\n", midway, nil},
+		"an overflowing chunk length":   {put + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\nhello\r\n0\r\n\r\n", midway, nil},
 		"a chunk line that ends in LF":  {put + "Transfer-Encoding: chunked\r\n\r\n5\nhello\r\n0\r\n\r\n", midway, nil},
 		"chunks of HTTP/1.0":            {"PUT /uploads/x HTTP/1.0\r\nHost: orders\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled, 0, &passed{""}},
 		"two hosts":                     {put + "Host: depot\r\n\r\n", 400, nil},
@@ -110,14 +111,14 @@
 	number := 0
 	for name, test := range tests {
 		number++
-		// The backend server may notice the end of a request that broke off only
-		// when the next shape's turn has come: each has paths of its own.
+		// The backend server may notice the end of an aborted request only while the next
+		// case runs, so each case has its own paths.
 		upload, last := fmt.Sprintf("/uploads/%d", number), fmt.Sprintf("/sentinel/%d", number)
 		t.Run(name, func(t *testing.T) {
 			text := strings.NewReplacer("/uploads/x", upload, "/sentinel", last).Replace(test.text + sentinel)
 			statuses, _ := raw(n.set.Callers, text)
-			var got []seen
-			for _, r := range b.taken() {
+			var got []recordedRequest
+			for _, r := range b.takeRequests() {
 				require.NotEqual(t, "/smuggled", r.Path)
 				if r.Path == upload || r.Path == last {
 					got = append(got, r)
@@ -125,7 +126,7 @@
 			}
 			require.NotEmpty(t, statuses)
 			if test.passed == nil {
-				require.Len(t, statuses, 1, "nothing after a bad request is read")
+				require.Len(t, statuses, 1, "no request is read after a bad one")
 				if test.refused == midway {
 					require.Contains(t, []int{http.StatusBadRequest, http.StatusBadGateway}, statuses[0])
 				} else {
@@ -147,9 +148,9 @@
 	}
 }
 
-// A caller sets the headers by which nodes speak with each other, or a backend
-// server answers with those by which the system tells an outcome. Either would
-// be believed by the next node, or by the caller.
+// Guards against forged internal headers: a caller may set headers that nodes use
+// among themselves, or a backend server may answer with headers that report an
+// outcome. The next node or the caller would trust them.
 func TestInternalHeadersAreStripped(t *testing.T) {
 	b := newBackend(t)
 	n := start(t, b, logr.Logger{})
@@ -176,34 +177,34 @@
 	for _, name := range append(internal, headers.Ticket) {
 		require.Empty(t, answers[0].Header.Values(name), name)
 	}
-	got := b.taken()
-	require.Len(t, got, 1, "an answer of the backend server's own isn't tried elsewhere")
+	got := b.takeRequests()
+	require.Len(t, got, 1, "an answer made by the backend server is not retried")
 	for _, name := range internal {
 		require.Empty(t, got[0].Header.Values(name), name)
 	}
 }
 
-func TestHeadersAreBounded(t *testing.T) {
+func TestHeaderSizeIsLimited(t *testing.T) {
 	b := newBackend(t)
 	n := start(t, b, logr.Logger{})
 	for name, text := range map[string]string{
 		"one long header": "X-A: " + strings.Repeat("a", 48<<10) + "\r\n",
 		"many headers":    strings.Repeat("X-A: aaaaaaaaaaaaaaaaaaaaaaaaaa\r\n", 1500),
 	} {
-		// Exactly what the server reads before it gives up: bytes left unread
-		// would have the kernel reset the connection, perhaps before the answer.
+		// Send exactly what the server reads before it refuses. Unread bytes would make the
+		// kernel reset the connection, possibly before the answer arrives.
 		const libraryAdds = 4096
 		text = ("GET /x HTTP/1.1\r\nHost: orders\r\n" + text)[:maxHeader+libraryAdds]
 		statuses, _ := raw(n.set.Callers, text)
 		require.Equal(t, []int{http.StatusRequestHeaderFieldsTooLarge}, statuses, name)
 	}
-	require.Empty(t, b.taken())
+	require.Empty(t, b.takeRequests())
 }
 
-// A stranger, or an entry of another fleet with an old list of VMs, sends a
-// request straight to a guard's port. Without a check the backend server would
-// run what was meant for another fleet's.
-func TestTheGuardsPortTakesOnlyItsFleet(t *testing.T) {
+// Guards against requests sent directly to a guard's port by an unknown client or by
+// another fleet's entry with an outdated VM list. Without the check the backend
+// server would run another fleet's requests.
+func TestGuardPortRefusesOtherFleets(t *testing.T) {
 	b := newBackend(t)
 	n := start(t, b, logr.Logger{})
 	const request = "GET /x HTTP/1.1\r\nHost: x\r\nLimpetdock-Service: orders\r\nLimpetdock-Timeout-Ms: 1000\r\nConnection: close\r\n"
@@ -212,13 +213,13 @@
 		require.Equal(t, []int{http.StatusMisdirectedRequest}, statuses)
 		require.Equal(t, "not-run", answers[0].Header.Get(headers.Outcome))
 	}
-	require.Empty(t, b.taken())
+	require.Empty(t, b.takeRequests())
 	statuses, _ := raw(n.set.Guard, request+headers.Fleet+": shop\r\n\r\n")
 	require.Equal(t, []int{http.StatusOK}, statuses)
-	require.Len(t, b.taken(), 1)
+	require.Len(t, b.takeRequests(), 1)
 }
 
-func TestConnectionsPerAddressAreBounded(t *testing.T) {
+func TestConnectionsPerAddressAreLimited(t *testing.T) {
 	b := newBackend(t)
 	n := start(t, b, logr.Logger{})
 	var open []net.Conn
@@ -246,5 +247,5 @@
 	require.Eventually(t, func() bool {
 		statuses, _ := raw(n.set.Callers, "GET /x HTTP/1.1\r\nHost: orders\r\nConnection: close\r\n\r\n")
 		return len(statuses) == 1 && statuses[0] == http.StatusOK
-	}, 20*time.Second, 10*time.Millisecond, "closed connections make room")
+	}, 20*time.Second, 10*time.Millisecond, "closed connections free capacity")
 }
--- a/internal/node/progress.go
+++ b/internal/node/progress.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	// stallLimit is how long a read of a body or a write of a piece of an answer may
-	// take: a reader slower than about 2 KB/s counts as one that stands still.
+	// stallLimit is the timeout for one read of a body or one write of a piece of an
+	// answer. A reader slower than about 2 KB/s counts as stalled.
 	stallLimit = 30 * time.Second
-	// pieceBytes is how much of an answer is written under one limit.
+	// pieceBytes is the number of bytes of an answer that are written under one
+	// deadline.
 	pieceBytes = 64 << 10
-	// minRate is the least rate of a request's body, in bytes per second of
-	// waiting for it, after stallLimit of grace. A sender that gives a byte
-	// now and then would otherwise hold a connection, and a slot, for good.
+	// minRate is the minimum rate of a request body, in bytes per second of time spent
+	// in Read, after a grace period of stallLimit. Without it, a sender of a single byte
+	// now and then could hold a connection and a slot forever.
 	minRate = 256
 )
 
-// watchProgress bounds how long each read of a request's body and each write of
-// an answer may wait. The whole exchange has no limit: long uploads are wanted.
+// watchProgress limits the time that each read of a request body and each write of
+// an answer may take. The exchange as a whole has no limit, because long uploads are
+// legitimate.
 func watchProgress(h http.Handler, c *serverCounters) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		control := http.NewResponseController(w)
@@ -27,48 +29,49 @@
 			r.Body = &watchedBody{ReadCloser: r.Body, control: control, counters: c}
 		}
 		h.ServeHTTP(&watchedWriter{ResponseWriter: w, control: control, counters: c}, r)
-		// What is still buffered is written once the handler has returned, perhaps
-		// long after its last Write; the server clears the deadline after that.
+		// Data that is still buffered is written after the handler has returned, possibly
+		// long after its last Write. The server clears the deadline after that.
 		_ = control.SetWriteDeadline(time.Now().Add(stallLimit))
 	})
 }
 
-// watchedBody moves the connection's read deadline on with the body.
+// watchedBody extends the connection's read deadline as the body progresses.
 type watchedBody struct {
 	io.ReadCloser
 	control  *http.ResponseController
 	counters *serverCounters
 	read     int64
-	// waited is the time spent in Read: what the backend server takes between
-	// two of them is no fault of the sender's.
+	// waited is the time spent in Read. Time that the backend server spends between two
+	// reads is not counted against the sender.
 	waited time.Duration
 }
 
 func (b *watchedBody) Read(p []byte) (int, error) {
-	begun := time.Now()
-	earned := time.Duration(b.read/minRate) * time.Second
-	// A connection that takes no deadline, as in a test, is read without one.
-	_ = b.control.SetReadDeadline(begun.Add(min(stallLimit, stallLimit+earned-b.waited)))
+	started := time.Now()
+	allowance := time.Duration(b.read/minRate) * time.Second
+	// Connections without deadline support, as in tests, are read without a deadline.
+	_ = b.control.SetReadDeadline(started.Add(min(stallLimit, stallLimit+allowance-b.waited)))
 	n, err := b.ReadCloser.Read(p)
 	b.read += int64(n)
-	b.waited += time.Since(begun)
+	b.waited += time.Since(started)
 	if err != nil {
-		// The server reads on in the background to notice a caller that leaves;
-		// an old deadline would end the request while it runs.
+		// The server continues reading in the background to detect that the caller
+		// disconnects. An old deadline would abort the request while it runs.
 		_ = b.control.SetReadDeadline(time.Time{})
 		b.counters.countStall(err)
 	}
 	return n, err
 }
 
-// watchedWriter moves the connection's write deadline on with the answer.
+// watchedWriter extends the connection's write deadline as the answer progresses.
 type watchedWriter struct {
 	http.ResponseWriter
 	control  *http.ResponseController
 	counters *serverCounters
 }
 
-// Write writes p in pieces, so that the limit doesn't depend on its length.
+// Write writes p in pieces, so that the time limit doesn't depend on the length of
+// p.
 func (w *watchedWriter) Write(p []byte) (int, error) {
 	written := 0
 	for len(p)-written > pieceBytes {
@@ -91,5 +94,5 @@
 	return n, err
 }
 
-// Unwrap gives the writer to http.ResponseController.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (w *watchedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/node/quiet_test.go
+++ b/internal/node/quiet_test.go
@@ -20,49 +20,49 @@
 	"github.com/limpetdock/limpetdock/internal/kind"
 )
 
-// answered counts requests by the label that their outcome is to be counted
-// under, and keeps answers that were others. Safe for concurrent use.
-type answered struct {
+// answerLog counts requests by expected label and records answers that differ. It is
+// safe for concurrent use.
+type answerLog struct {
 	mu     sync.Mutex
 	counts map[string]uint64
-	// wrong is how many answers were others than expected, kept the first of them.
-	wrong int
-	kept  []string
+	// unexpected counts the answers with another label; samples holds the first of them.
+	unexpected int
+	samples    []string
 }
 
-// note takes the answer to a request that began at begun.
-func (a *answered) note(want string, begun time.Time, w *httptest.ResponseRecorder) {
+// record adds the answer to a request that began at begun.
+func (a *answerLog) record(want string, begun time.Time, w *httptest.ResponseRecorder) {
 	took := time.Since(begun)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.counts[want]++
-	if labelOf(w) == want {
+	if answerLabel(w) == want {
 		return
 	}
-	const maxKept = 20
-	a.wrong++
-	if len(a.kept) < maxKept {
-		a.kept = append(a.kept, fmt.Sprintf("%s expected, began %s, after %s: %d %v %s",
+	const maxSamples = 20
+	a.unexpected++
+	if len(a.samples) < maxSamples {
+		a.samples = append(a.samples, fmt.Sprintf("%s expected, began %s, after %s: %d %v %s",
 			want, begun.Format(time.StampMicro), took, w.Code, w.Header(), w.Body))
 	}
 }
 
-// String gives the answers that were others, one a line.
-func (a *answered) String() string { return strings.Join(a.kept, "\n") }
+// String returns the recorded unexpected answers, one per line.
+func (a *answerLog) String() string { return strings.Join(a.samples, "\n") }
 
-// labelOf gives the label that an answer is counted under.
-func labelOf(w *httptest.ResponseRecorder) string {
+// answerLabel returns the label that an answer is counted under.
+func answerLabel(w *httptest.ResponseRecorder) string {
 	if w.Code == http.StatusOK {
 		return servedLabel
 	}
 	return w.Header().Get(headers.Kind)
 }
 
-// servedLabel is the label of requests that the backend server answered.
+// servedLabel is the label of requests answerLog by the backend server.
 const servedLabel = "backend"
 
-// countedBy gives a node's counts of answers, by label.
-func countedBy(n *running) map[string]uint64 {
+// answerCounts returns a node's counts of answers, by label.
+func answerCounts(n *testNode) map[string]uint64 {
 	counts := map[string]uint64{}
 	for _, u := range n.metrics.Usage() {
 		for label, count := range u.Answers {
@@ -72,29 +72,29 @@
 	return counts
 }
 
-// sinceThen gives by how much counts have risen.
-func sinceThen(before, now map[string]uint64) map[string]uint64 {
-	risen := map[string]uint64{}
+// increase returns the differences of counts that have out.
+func increase(before, now map[string]uint64) map[string]uint64 {
+	out := map[string]uint64{}
 	for label, count := range now {
 		if count > before[label] {
-			risen[label] = count - before[label]
+			out[label] = count - before[label]
 		}
 	}
-	return risen
+	return out
 }
 
-// shape is a kind of request, and the label that its outcome is counted under.
-type shape struct {
+// requestCase is a type of request with the label that its outcome is counted under.
+type requestCase struct {
 	label string
 	set   func(http.Header)
 }
 
-// shapesOfRefusal are requests that the entry refuses.
-func shapesOfRefusal() []shape {
-	with := func(k kind.Kind, name, value string) shape {
-		return shape{string(k), func(h http.Header) { h.Set(name, value) }}
+// refusedCases returns requests that the entry refuses.
+func refusedCases() []requestCase {
+	with := func(k kind.Kind, name, value string) requestCase {
+		return requestCase{string(k), func(h http.Header) { h.Set(name, value) }}
 	}
-	return []shape{
+	return []requestCase{
 		with(kind.UnknownService, headers.Service, "nobody"),
 		with(kind.BadRequest, headers.TimeoutMs, "soon"),
 		with(kind.DeadlineNotRun, headers.TimeoutMs, "0"),
@@ -104,25 +104,25 @@
 	}
 }
 
-// soundShape is a request that is served. No deadline holds for a process that
-// doesn't get a processor, so it brings one that outlasts that.
-func soundShape() shape {
-	const outlasting = time.Minute
-	ms := strconv.FormatInt(outlasting.Milliseconds(), 10)
-	return shape{servedLabel, func(h http.Header) { h.Set(headers.TimeoutMs, ms) }}
+// servedCase returns a request that is served. Its deadline is long, because a
+// process that gets no processor time can't meet a short one.
+func servedCase() requestCase {
+	const longDeadline = time.Minute
+	ms := strconv.FormatInt(longDeadline.Milliseconds(), 10)
+	return requestCase{servedLabel, func(h http.Header) { h.Set(headers.TimeoutMs, ms) }}
 }
 
-// An operator pays for every line of a log, and a caller who can have lines
-// written at will can fill it. Requests of every kind, served and refused, must
-// be counted and write nothing, whichever of the libraries would like to.
-func TestAMillionRequestsWriteNoLine(t *testing.T) {
+// Guards against requests that write log lines: log volume costs operators money,
+// and a caller could fill the log. Requests of every kind, served or refused, must
+// be counted and must not log anything, neither in the node nor in its libraries.
+func TestMillionRequestsLogNothing(t *testing.T) {
 	const requests, workers, everyNthServed = 1_000_000, 8, 100
 	b := newBackend(t)
 	n := start(t, b, logr.Logger{})
-	before, counted := n.lines.Load(), countedBy(n)
-	sound, refused := soundShape(), shapesOfRefusal()
+	before, counted := n.lines.Load(), answerCounts(n)
+	served, refused := servedCase(), refusedCases()
 	var wg sync.WaitGroup
-	got := &answered{counts: map[string]uint64{}}
+	got := &answerLog{counts: map[string]uint64{}}
 	for range workers {
 		wg.Go(func() {
 			for i := range requests / workers {
@@ -130,7 +130,7 @@
 					Method: http.MethodGet, URL: &url.URL{Path: "/x"}, Host: "orders", Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 					Header: http.Header{}, Body: http.NoBody,
 				}
-				s := sound
+				s := served
 				if i%everyNthServed != 0 {
 					s = refused[i%len(refused)]
 				}
@@ -138,25 +138,25 @@
 				w := httptest.NewRecorder()
 				begun := time.Now()
 				n.servers.callers.server.Handler.ServeHTTP(w, r)
-				got.note(s.label, begun, w)
+				got.record(s.label, begun, w)
 			}
 		})
 	}
 	wg.Wait()
-	require.Zero(t, got.wrong, "answers that aren't as expected:\n%s", got)
+	require.Zero(t, got.unexpected, "unexpected answers:\n%s", got)
 	require.EqualValues(t, requests/everyNthServed, got.counts[servedLabel])
-	require.Equal(t, got.counts, sinceThen(counted, countedBy(n)), "each request has its counted outcome")
+	require.Equal(t, got.counts, increase(counted, answerCounts(n)), "each request is counted under its outcome")
 	require.Equal(t, before, n.lines.Load(), "the node's own log")
-	require.Same(t, n.library, log.Writer(), "libraries can't reach stderr")
+	require.Same(t, n.library, log.Writer(), "libraries must not write to stderr")
 	require.Zero(t, n.library.lines.Load(), "the libraries' log")
-	log.Print("an answer that nobody asked for")
+	log.Print("an unsolicited response")
 	require.EqualValues(t, 1, n.library.lines.Load())
 }
 
-// A caller sends broken requests at will. net/http would write a line to
-// stderr for many of them; they are counted. Only the first panic is logged, since
-// its stack is needed to mend the fault.
-func TestTheLibrarysLinesAreCounted(t *testing.T) {
+// Callers can send broken requests at will, and net/http would log a line to stderr
+// for many of them. They are only counted. The first panic is logged, because its
+// stack is needed to fix the fault.
+func TestLibraryLogLinesAreCounted(t *testing.T) {
 	var lines []string
 	c := &serverCounters{log: funcr.New(func(_, args string) { lines = append(lines, args) }, funcr.Options{})}
 	port := newHTTPPort("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -164,7 +164,7 @@
 			panic("a fault")
 		}
 		w.WriteHeader(http.StatusOK)
-		w.WriteHeader(http.StatusOK) // the library complains
+		w.WriteHeader(http.StatusOK) // net/http logs a superfluous call
 	}), 16, c)
 	require.NoError(t, port.listen())
 	go func() { _ = port.serve() }()
--- a/internal/node/room.go
+++ b/internal/node/room.go
@@ -12,47 +12,50 @@
 )
 
 const (
-	// idleLeast is how long a connection must have been idle before it is closed
-	// for another. It is many round trips: a request that is on its way when its
-	// connection is closed is rare, and its entry finds out that it wasn't run.
-	idleLeast = time.Second
-	// ceiling times the limit is how many connections may be open while those
-	// over the limit are being refused. Beyond it they are closed unanswered.
-	ceiling = 2
+	// minIdle is how long a connection must have been idle before it may be closed in
+	// favour of another. It is many round trips, so a request is rarely in transit when
+	// its connection is closed; in that case its entry learns that it wasn't run.
+	minIdle = time.Second
+	// hardLimitFactor times the limit is the maximum number of open connections,
+	// including those over the limit whose requests are being refused. Connections
+	// beyond it are closed without an answer.
+	hardLimitFactor = 2
 )
 
-// room bounds the connections of a guard's port to what its target is declared
-// to accept. Subsets keep below that on average; when a region spills over or
-// views differ, entries that have no connection yet would find the target
-// out of memory or descriptors. So the longest idle connection gives way to a new
-// one, and when all are busy, the new one's request is refused as not run, which
-// sends it to another target. Nothing in flight is cut. Safe for concurrent use.
-type room struct {
+// connLimiter limits the connections of a guard's port to the number that its target
+// is declared to accept. Subsetting keeps the number below the limit on average.
+// When a region spills over or views differ, entries without a connection could
+// otherwise exhaust the target's memory or file descriptors. A new connection
+// therefore replaces the one that has been idle longest. If all are busy, the
+// request on the new connection is refused as not run, and its entry sends it to
+// another target. Requests in flight are never cut. connLimiter is safe for
+// concurrent use.
+type connLimiter struct {
 	limit    func() int
 	counters *serverCounters
 	mu       sync.Mutex
-	conns    map[net.Conn]*held
-	// idle are the idle connections, the longest idle first.
+	conns    map[net.Conn]*trackedConn
+	// idle lists the idle connections, longest idle first.
 	idle *list.List
-	// over counts the connections that came when there was no room.
+	// over counts the open connections that were accepted over the limit.
 	over int
 }
 
-// held is what is known of an open connection.
-type held struct {
+// trackedConn is the state of an open connection.
+type trackedConn struct {
 	conn  net.Conn
 	over  bool
 	since time.Time
-	// idle is its place among the idle ones, nil for a busy one.
+	// idle is the connection's element in the idle list, nil while it is busy.
 	idle *list.Element
 }
 
-func newRoom(limit func() int, c *serverCounters) *room {
-	return &room{limit: limit, counters: c, conns: map[net.Conn]*held{}, idle: list.New()}
+func newConnLimiter(limit func() int, c *serverCounters) *connLimiter {
+	return &connLimiter{limit: limit, counters: c, conns: map[net.Conn]*trackedConn{}, idle: list.New()}
 }
 
-// bound makes a port keep the limit.
-func (r *room) bound(p *httpPort) {
+// attach applies the limit to a port.
+func (r *connLimiter) attach(p *httpPort) {
 	before := p.server.ConnState
 	p.server.ConnState = func(c net.Conn, s http.ConnState) {
 		before(c, s)
@@ -66,9 +69,9 @@
 
 type connKey struct{}
 
-// handler refuses new work on connections that came when there was no room,
-// unless there is by now.
-func (r *room) handler(h http.Handler) http.Handler {
+// handler refuses new requests on connections that were accepted over the limit,
+// unless the connection fits within the limit by now.
+func (r *connLimiter) handler(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		conn, _ := req.Context().Value(connKey{}).(net.Conn)
 		if !r.admits(conn) {
@@ -79,16 +82,16 @@
 	})
 }
 
-// admits says whether a connection is one of those that there is room for.
-func (r *room) admits(c net.Conn) bool {
+// admits reports whether a connection is within the limit.
+func (r *connLimiter) admits(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := r.conns[c]
 	if h == nil || !h.over {
 		return true
 	}
-	if len(r.conns)-r.over >= r.limit() && !r.makeRoom() {
-		r.counters.noRoom.Add(1)
+	if len(r.conns)-r.over >= r.limit() && !r.evictIdle() {
+		r.counters.allBusy.Add(1)
 		return false
 	}
 	h.over = false
@@ -97,48 +100,49 @@
 }
 
 // connState is the server's ConnState hook. A new connection counts as idle until
-// its first byte, so that those who only connect can't take the room.
-func (r *room) connState(c net.Conn, s http.ConnState) {
+// its first byte, so that clients which only connect can't use up the limit.
+func (r *connLimiter) connState(c net.Conn, s http.ConnState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		r.enter(c)
+		r.add(c)
 	case http.StateIdle:
-		r.rest(r.conns[c])
+		r.markIdle(r.conns[c])
 	case http.StateActive:
-		r.busy(r.conns[c])
+		r.markBusy(r.conns[c])
 	case http.StateClosed, http.StateHijacked:
-		r.leave(c)
+		r.remove(c)
 	}
 }
 
-func (r *room) enter(c net.Conn) {
+func (r *connLimiter) add(c net.Conn) {
 	limit := r.limit()
-	h := &held{conn: c, over: len(r.conns)-r.over >= limit && !r.makeRoom()}
+	h := &trackedConn{conn: c, over: len(r.conns)-r.over >= limit && !r.evictIdle()}
 	r.conns[c] = h
-	r.rest(h)
+	r.markIdle(h)
 	if h.over {
 		r.over++
 	}
-	if len(r.conns) > ceiling*limit {
+	if len(r.conns) > hardLimitFactor*limit {
 		r.counters.refused.Add(1)
 		_ = c.Close()
 	}
 }
 
-// makeRoom closes connections that have been idle long enough, the longest idle
-// first, until one of those that there was room for has gone.
-func (r *room) makeRoom() bool {
+// evictIdle closes connections that have been idle for at least minIdle, longest
+// idle first, until it has closed one that counted towards the limit. It reports
+// whether it did.
+func (r *connLimiter) evictIdle() bool {
 	for first := r.idle.Front(); first != nil; first = r.idle.Front() {
-		h := first.Value.(*held)
-		if time.Since(h.since) < idleLeast {
+		h := first.Value.(*trackedConn)
+		if time.Since(h.since) < minIdle {
 			return false
 		}
-		// The server notices by its own read, and calls the hook again, which must not
-		// count it twice.
-		r.leave(h.conn)
-		r.counters.madeRoom.Add(1)
+		// The server detects the close in its own read and calls the hook again; the
+		// connection must not be subtracted twice.
+		r.remove(h.conn)
+		r.counters.idleClosed.Add(1)
 		_ = h.conn.Close()
 		if !h.over {
 			return true
@@ -147,28 +151,28 @@
 	return false
 }
 
-func (r *room) rest(h *held) {
+func (r *connLimiter) markIdle(h *trackedConn) {
 	if h == nil {
 		return
 	}
-	r.busy(h)
+	r.markBusy(h)
 	h.since = time.Now()
 	h.idle = r.idle.PushBack(h)
 }
 
-func (r *room) busy(h *held) {
+func (r *connLimiter) markBusy(h *trackedConn) {
 	if h != nil && h.idle != nil {
 		r.idle.Remove(h.idle)
 		h.idle = nil
 	}
 }
 
-func (r *room) leave(c net.Conn) {
+func (r *connLimiter) remove(c net.Conn) {
 	h := r.conns[c]
 	if h == nil {
 		return
 	}
-	r.busy(h)
+	r.markBusy(h)
 	if h.over {
 		r.over--
 	}
--- a/internal/node/room_test.go
+++ b/internal/node/room_test.go
@@ -15,25 +15,25 @@
 	"github.com/limpetdock/limpetdock/internal/headers"
 )
 
-// line is one entry's connection to the guard's port.
-type line struct {
+// guardConn is an entry's connection to the guard's port.
+type guardConn struct {
 	net.Conn
 	answers *bufio.Reader
 }
 
-func dialGuard(t *testing.T, n *running) *line {
+func dialGuard(t *testing.T, n *testNode) *guardConn {
 	conn, err := net.Dial("tcp", n.set.Guard)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	return &line{conn, bufio.NewReader(conn)}
+	return &guardConn{conn, bufio.NewReader(conn)}
 }
 
-func (l *line) ask(more string) {
+func (l *guardConn) sendRequest(more string) {
 	_, _ = l.Write([]byte("GET /x HTTP/1.1\r\nHost: x\r\n" + headers.Service + ": orders\r\n" +
 		headers.TimeoutMs + ": 30000\r\n" + headers.Fleet + ": shop\r\n" + more + "\r\n"))
 }
 
-func (l *line) answer() (resp *http.Response, body string, err error) {
+func (l *guardConn) readAnswer() (resp *http.Response, body string, err error) {
 	if resp, err = http.ReadResponse(l.answers, nil); err != nil {
 		return nil, "", err
 	}
@@ -41,14 +41,15 @@
 	return resp, string(text), err
 }
 
-// A region spills over, and entries that never used a target connect to it. Its
-// connections are all busy: the new request is refused, to go to another
-// target, and none of those that run is cut. An attempt's answer can still be
-// collected. Once connections lie idle, the longest idle one makes room.
-func TestConnectionsOfAGuardAreBounded(t *testing.T) {
+// Guards against connections beyond the declared number, which come when a region
+// spills over to a target that those entries never used. While all connections are
+// busy, a new request is refused so that it goes to another target, and no running
+// request is cut. An attempt's answer can still be collected. Once connections are
+// idle, the longest idle one is closed for a new one.
+func TestGuardConnectionsAreLimited(t *testing.T) {
 	b := newBackend(t)
 	n := start(t, b, logr.Logger{})
-	r := n.servers.room
+	r := n.servers.guardConns
 	r.mu.Lock()
 	r.limit = func() int { return 2 }
 	r.mu.Unlock()
@@ -56,47 +57,47 @@
 	b.setAnswer(func(w http.ResponseWriter, _ *http.Request) {
 		running.Add(1)
 		<-release
-		_, _ = w.Write([]byte("whole"))
+		_, _ = w.Write([]byte("complete"))
 	})
 	first, second := dialGuard(t, n), dialGuard(t, n)
-	for _, l := range []*line{first, second} {
-		l.ask("")
+	for _, l := range []*guardConn{first, second} {
+		l.sendRequest("")
 	}
 	require.Eventually(t, func() bool { return running.Load() == 2 }, time.Minute, time.Millisecond)
 	late, collector := dialGuard(t, n), dialGuard(t, n)
-	late.ask("")
-	resp, said, err := late.answer()
+	late.sendRequest("")
+	resp, text, err := late.readAnswer()
 	require.NoError(t, err)
 	require.Equal(t, "not-run", resp.Header.Get(headers.Outcome))
-	require.Contains(t, said, `"overloaded"`)
+	require.Contains(t, text, `"overloaded"`)
 	require.True(t, resp.Close)
-	collector.ask(headers.Collect + ": a\r\n")
-	_, said, err = collector.answer()
+	collector.sendRequest(headers.Collect + ": a\r\n")
+	_, text, err = collector.readAnswer()
 	require.NoError(t, err)
-	require.NotContains(t, said, `"overloaded"`, "what the guard knows is told")
+	require.NotContains(t, text, `"overloaded"`, "collecting an answer is not refused")
 
 	close(release)
-	for _, l := range []*line{first, second} {
-		_, body, err := l.answer()
+	for _, l := range []*guardConn{first, second} {
+		_, body, err := l.readAnswer()
 		require.NoError(t, err)
-		require.Equal(t, "whole", body)
+		require.Equal(t, "complete", body)
 	}
 	require.Eventually(t, func() bool {
 		next := dialGuard(t, n)
-		next.ask("")
-		_, body, err := next.answer()
+		next.sendRequest("")
+		_, body, err := next.readAnswer()
 		_ = next.Close()
-		return err == nil && body == "whole"
-	}, time.Minute, 50*time.Millisecond, "an idle one makes room")
-	require.NotZero(t, n.servers.guard.counters.madeRoom.Load())
+		return err == nil && body == "complete"
+	}, time.Minute, 50*time.Millisecond, "an idle connection is closed for a new one")
+	require.NotZero(t, n.servers.guard.counters.idleClosed.Load())
 }
 
-// Far more connections come than are accepted, and say nothing. They are closed
-// at once, so that their number doesn't grow with whoever dials.
-func TestSilentConnectionsOverTheCeilingAreClosed(t *testing.T) {
+// Guards against an unbounded number of open connections from clients that connect
+// and send nothing.
+func TestIdleConnectionsOverHardLimitAreClosed(t *testing.T) {
 	b := newBackend(t)
 	n := start(t, b, logr.Logger{})
-	r := n.servers.room
+	r := n.servers.guardConns
 	r.mu.Lock()
 	r.limit = func() int { return 2 }
 	r.mu.Unlock()
@@ -107,6 +108,6 @@
 	require.Eventually(t, func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return len(r.conns) <= 2*ceiling
+		return len(r.conns) <= 2*hardLimitFactor
 	}, time.Minute, time.Millisecond)
 }
--- a/internal/node/scrape_test.go
+++ b/internal/node/scrape_test.go
@@ -16,10 +16,10 @@
 	"github.com/limpetdock/limpetdock/internal/metrics"
 )
 
-// At the target size every node is asked for its metrics every few seconds by
-// whoever gathers them. The worst node has given every kind of answer for each
-// service. Targets are no label.
-func TestTheScrapeAtTheTargetSizeStaysBelowAMegabyte(t *testing.T) {
+// At the target size, every node's metrics are scraped every few seconds. In the
+// worst case a node has answered with every kind for each service. Targets are not a
+// label.
+func TestScrapeAtTargetSizeIsBelowOneMegabyte(t *testing.T) {
 	const megabyte = 1 << 20
 	f := deployments.Large(1)
 	pub, err := f.Print()
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -22,17 +22,17 @@
 	"github.com/limpetdock/limpetdock/internal/settings"
 )
 
-// servers are what listens in a node: three HTTP ports and the control port.
+// servers holds the listeners of a node: three HTTP ports and the control port.
 type servers struct {
 	callers, guard, admin *httpPort
-	room                  *room
+	guardConns            *connLimiter
 	control               *link.Server
 	controlAddr           string
 	controlListener       net.Listener
 }
 
-// serving is what servers are made of.
-type serving struct {
+// serverDeps are the dependencies of servers.
+type serverDeps struct {
 	fx.In
 	Settings *settings.Settings
 	Entry    *entry.Entry
@@ -45,27 +45,28 @@
 	Log      logr.Logger
 }
 
-func newServers(p serving) *servers {
+func newServers(p serverDeps) *servers {
 	set := p.Settings
 	port := func(name, addr string, h http.Handler) *httpPort {
 		c := &serverCounters{log: p.Log.WithValues("server", name)}
 		c.register(p.Metrics, name)
 		return newHTTPPort(addr, h, set.ConnsPerIP, c)
 	}
-	face := face{p.Loop, p.Entry, p.Guard, p.Limits, p.Clock}
+	api := adminNode{p.Loop, p.Entry, p.Guard, p.Limits, p.Clock}
 	s := &servers{
 		callers: port("callers", set.Callers, p.Entry),
-		guard:   port("guard", set.Guard, onlyFleet(set.Fleet, p.Guard)),
-		admin:   port("admin", set.Admin, admin.New(face, p.Metrics)),
+		guard:   port("guard", set.Guard, requireFleet(set.Fleet, p.Guard)),
+		admin:   port("admin", set.Admin, admin.New(api, p.Metrics)),
 		control: p.Control, controlAddr: set.Control,
 	}
 	s.callers.server.ConnContext = entry.ConnContext
-	s.room = newRoom(func() int { return connectionsOf(p.Entry.View()) }, s.guard.counters)
-	s.room.bound(s.guard)
+	s.guardConns = newConnLimiter(func() int { return connectionsOf(p.Entry.View()) }, s.guard.counters)
+	s.guardConns.attach(s.guard)
 	return s
 }
 
-// connectionsOf is how many connections the own target is declared to accept.
+// connectionsOf returns the declared number of connections that the local target
+// accepts.
 func connectionsOf(v *pick.View) int {
 	if v != nil {
 		if _, t := v.Config.Target(v.Here.VM); t != nil {
@@ -75,7 +76,7 @@
 	return fleet.DefaultConnections
 }
 
-// listen opens every port, so that a node whose address is taken doesn't start.
+// listen opens every port, so that a node with an address in use fails to start.
 func (s *servers) listen() error {
 	for _, p := range []*httpPort{s.callers, s.guard, s.admin} {
 		if err := p.listen(); err != nil {
@@ -87,7 +88,7 @@
 	return err
 }
 
-// serve serves every port until it is closed; fail is told of any other end.
+// serve serves every port until it is closed and calls fail on any other end.
 func (s *servers) serve(fail func(error)) {
 	for _, p := range []*httpPort{s.callers, s.guard, s.admin} {
 		go func() {
@@ -103,14 +104,14 @@
 	}()
 }
 
-// closeControl ends the control port with its connections.
+// closeControl closes the control port and its connections.
 func (s *servers) closeControl() {
 	_ = s.controlListener.Close()
 	s.control.Close()
 }
 
-// face is the node as the administration API shows it.
-type face struct {
+// adminNode adapts the node to the administration API.
+type adminNode struct {
 	*control.Loop
 	*entry.Entry
 	*guard.Guard
@@ -118,11 +119,11 @@
 	clock  clock.Clock
 }
 
-// Limits are the limits on requests in flight, with their use.
-func (f face) Limits() []limit.Use { return f.limits.Uses() }
+// Limits returns the limits on requests in flight, with their use.
+func (f adminNode) Limits() []limit.Use { return f.limits.Uses() }
 
-// Now is the time since the node's start.
-func (f face) Now() time.Duration { return f.clock() }
+// Now returns the time since the node started.
+func (f adminNode) Now() time.Duration { return f.clock() }
 
-// Dump copies the control tables.
-func (f face) Dump() (core.Dump, bool) { return f.Loop.Dump() }
+// Dump returns a copy of the control tables.
+func (f adminNode) Dump() (core.Dump, bool) { return f.Loop.Dump() }
--- a/internal/node/slow_test.go
+++ b/internal/node/slow_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// oneConn is a listener that gives one connection.
+// oneConn is a listener that accepts one connection.
 type oneConn struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -33,7 +33,8 @@
 func (l *oneConn) Close() error   { return nil }
 func (l *oneConn) Addr() net.Addr { return &net.TCPAddr{} }
 
-// serveOne serves one connection with a handler; end closes both ends of it.
+// serveOne serves one connection with a handler; end closes both ends of the
+// connection.
 func serveOne(h http.HandlerFunc, c *serverCounters) (near net.Conn, end func()) {
 	srv := newHTTPPort("", h, 1, c).server
 	near, far := net.Pipe()
@@ -48,15 +49,15 @@
 	}
 }
 
-// A caller sends a part of its body and then nothing more, or a byte every now
-// and then. Its connection, and the slot of whoever reads the body, would be
-// held for good. An upload that moves on may take as long as it likes.
-func TestSlowBodies(t *testing.T) {
+// Guards against senders that stop in the middle of a body, or send a single byte
+// now and then: the connection, and the slot of the request, would be held forever.
+// An upload that makes progress may take as long as it needs.
+func TestStalledBodiesAreAborted(t *testing.T) {
 	tests := map[string]struct {
 		chunk  int
 		every  time.Duration
 		chunks int
-		// pause is what the backend server takes between two reads.
+		// pause is the time that the backend server takes between two reads.
 		pause   time.Duration
 		stalled bool
 	}{
@@ -75,7 +76,7 @@
 				}, c)
 				go func() { _, _ = io.Copy(io.Discard, near) }()
 				var sender sync.WaitGroup
-				sender.Go(func() { drip(near, test.chunk, test.chunks, test.every) })
+				sender.Go(func() { sendSlowly(near, test.chunk, test.chunks, test.every) })
 				err := <-ended
 				if test.stalled {
 					var timeout net.Error
@@ -106,7 +107,7 @@
 	}
 }
 
-func drip(conn net.Conn, chunk, chunks int, every time.Duration) {
+func sendSlowly(conn net.Conn, chunk, chunks int, every time.Duration) {
 	head := "PUT / HTTP/1.1\r\nHost: x\r\nContent-Length: " + strconv.Itoa(chunk*chunks) + "\r\n\r\n"
 	if _, err := io.WriteString(conn, head); err != nil {
 		return
@@ -119,16 +120,16 @@
 	}
 }
 
-// A booking takes longer than a body may stand still, and its caller keeps the
-// connection for another one after a pause. The deadlines that were set while
-// the body was read and the answer written must not cut either.
-func TestDeadlinesEndWithTheirExchange(t *testing.T) {
+// Guards against deadlines that outlive the read or write they were set for: a
+// booking may take longer than stallLimit, and its caller may reuse the connection
+// after a pause.
+func TestDeadlinesEndWithTheirReadOrWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &serverCounters{}
 		near, end := serveOne(func(w http.ResponseWriter, r *http.Request) {
 			_, err := io.ReadAll(r.Body)
 			require.NoError(t, err)
-			// A reader that wants to see the end once more.
+			// Read again after the end of the body.
 			_, err = r.Body.Read(make([]byte, 1))
 			require.ErrorIs(t, err, io.EOF)
 			time.Sleep(3 * stallLimit)
@@ -161,9 +162,10 @@
 	return resp.StatusCode
 }
 
-// A caller asks for a long answer and stops reading it. The node would hold the
-// answer's goroutine, the guard its slot, and the backend server its connection.
-func TestAStalledReaderIsCut(t *testing.T) {
+// Guards against a caller that requests a long answer and stops reading it: it would
+// hold the goroutine of the answer, the guard's slot and the connection to the
+// backend server.
+func TestStalledReaderIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &serverCounters{}
 		ended := make(chan error, 1)
@@ -176,14 +178,14 @@
 		require.NoError(t, err)
 		begun := time.Now()
 		require.Error(t, <-ended)
-		require.Equal(t, stallLimit, time.Since(begun), "of the test's clock")
+		require.Equal(t, stallLimit, time.Since(begun), "on the test's clock")
 		require.EqualValues(t, 1, c.stalled.Load())
 	})
 }
 
-// Guards against an answer that is cut while it is read, as over a slow link, because it
-// was written in one go.
-func TestASlowReaderGetsAnAnswerThatIsWrittenAtOnce(t *testing.T) {
+// Guards against an answer that is cut while a slow client reads it, because it was
+// written in a single call.
+func TestSlowReaderGetsAnswerWrittenInOneCall(t *testing.T) {
 	const size = 4 << 20
 	synctest.Test(t, func(t *testing.T) {
 		c := &serverCounters{}
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// tellPeers is how long a stopping node goes on as before but for new work at
-	// its guard, so that peers hear of it and choose other targets.
-	tellPeers = 300 * time.Millisecond
+	// notifyPeersFor is how long a stopping node continues to work, except for new
+	// requests at its guard, so that peers learn of the stop and choose other targets.
+	notifyPeersFor = 300 * time.Millisecond
 	// collectFor is how long answers can still be collected after the last run.
 	collectFor = 500 * time.Millisecond
-	// handKeysFor bounds how long handing the keys on may hold up a stop.
-	handKeysFor = 2 * time.Second
-	// stopSlack is what a stop may take beyond the grace and the limit.
-	stopSlack = 5 * time.Second
+	// keyTransferTimeout limits how long the transfer of keys may delay a stop.
+	keyTransferTimeout = 2 * time.Second
+	// stopMargin is the time that a stop may take in addition to the grace period and
+	// the stop limit.
+	stopMargin = 5 * time.Second
 )
 
-// stop ends the node without cutting what is in flight, in the order in which
-// one part needs another: callers' requests need the entry, the entry needs
-// guards, attempts are asked about at the guard and the control port.
-func (p parts) stop() {
+// stop shuts the node down without cutting requests in flight. Components are
+// stopped before those they depend on: callers' requests need the entry, the entry
+// needs guards, and attempts are queried at the guard and the control port.
+func (p params) stop() {
 	p.Log.Info("stopping")
 	p.Loop.SetStopping()
 	p.Guard.SetLeaving(true)
-	time.Sleep(tellPeers)
+	time.Sleep(notifyPeersFor)
 	p.Servers.callers.stopAccepting()
-	p.askToClose()
+	p.drainConnections()
 	limit, cancel := context.WithTimeout(context.Background(), stopLimit(p.Settings.StopLimit, p.Entry.View()))
 	defer cancel()
 	if err := p.Servers.callers.server.Shutdown(limit); err != nil {
@@ -37,7 +38,7 @@
 	}
 	p.Entry.WaitCopies(limit)
 	p.waitForRuns(limit)
-	p.handKeys()
+	p.transferKeys()
 	if err := p.Servers.guard.server.Shutdown(limit); err != nil {
 		p.Log.Error(err, "entries cut off at the stop limit")
 	}
@@ -51,16 +52,16 @@
 	p.Log.Info("stopped")
 }
 
-// handKeys hands callers' own keys to the next process of the VM, now that
-// nothing runs under them any more.
-func (p parts) handKeys() {
-	ctx, cancel := context.WithTimeout(context.Background(), handKeysFor)
+// transferKeys sends callers' own keys to a peer that keeps them for the next
+// process of this VM. No request runs under them any more.
+func (p params) transferKeys() {
+	ctx, cancel := context.WithTimeout(context.Background(), keyTransferTimeout)
 	defer cancel()
 	p.Loop.HandKeys(ctx)
 }
 
-// stopLimit is how long a stop may wait for requests in flight: the service's
-// declared drain time, but no longer than the node's settings allow.
+// stopLimit returns how long a stop may wait for requests in flight: the service's
+// declared drain time, but at most the limit in the node's settings.
 func stopLimit(allowed time.Duration, v *pick.View) time.Duration {
 	if v == nil {
 		return allowed
@@ -72,9 +73,10 @@
 	return min(allowed, svc.Drain)
 }
 
-// askToClose lets callers and entries close their connections themselves, by a
-// word in their next answer. Those that stay idle for the whole grace are closed later.
-func (p parts) askToClose() {
+// drainConnections asks callers and entries to close their connections, by a header
+// in their next answer. Connections that stay idle for the whole grace period are
+// closed later.
+func (p params) drainConnections() {
 	grace, cancel := context.WithTimeout(context.Background(), p.Settings.StopGrace)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -83,9 +85,9 @@
 	wg.Wait()
 }
 
-// waitForRuns waits for at-most-once runs whose entry has gone, and then a
-// little for entries that come back for an answer over a new connection.
-func (p parts) waitForRuns(limit context.Context) {
+// waitForRuns waits for at-most-once runs whose entry has disconnected, and then for
+// collectFor, so that entries can collect answers over a new connection.
+func (p params) waitForRuns(limit context.Context) {
 	done := make(chan struct{})
 	go func() {
 		p.Guard.Wait()
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -24,8 +24,8 @@
 	pollEvery = 10 * time.Millisecond
 )
 
-// book sends an at-most-once attempt to the node's guard, as an entry does.
-func (n *running) book(ctx context.Context, incarnation, tick string) (*http.Response, error) {
+// sendAttempt sends an at-most-once attempt to the node's guard, as an entry does.
+func (n *testNode) sendAttempt(ctx context.Context, incarnation, tick string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.set.Guard+"/orders/confirm", strings.NewReader("order"))
 	if err != nil {
 		return nil, err
@@ -43,10 +43,10 @@
 	return resp, err
 }
 
-// A node is told to stop while its backend server runs a booking whose entry
-// has gone. Stopping at once would leave the booking's fate unknown for good. The
-// node must wait for the run, and answer at its control port until then.
-func TestAStopWaitsForTheLastRun(t *testing.T) {
+// Guards against an attempt whose outcome stays unknown because its node stopped
+// during the run, after its entry had disconnected. The node must wait for the run
+// and answer at its control port until then.
+func TestStopWaitsForLastRun(t *testing.T) {
 	b := newBackend(t)
 	n := start(t, b, logr.Logger{})
 	begun, release, ended := make(chan struct{}), make(chan struct{}), make(chan error, 1)
@@ -56,14 +56,14 @@
 		_, err := w.Write([]byte("booked"))
 		ended <- err
 	}
-	refusal, err := n.book(t.Context(), "0", "0")
+	refusal, err := n.sendAttempt(t.Context(), "0", "0")
 	require.NoError(t, err)
 	incarnation, tick := refusal.Header.Get(headers.Incarnation), refusal.Header.Get(headers.Tick)
-	require.NotEmpty(t, incarnation, "a refusal tells whom to name")
-	entry, leave := context.WithCancel(t.Context())
-	go func() { _, _ = n.book(entry, incarnation, tick) }()
+	require.NotEmpty(t, incarnation, "a refusal reports the incarnation to name")
+	entry, disconnect := context.WithCancel(t.Context())
+	go func() { _, _ = n.sendAttempt(entry, incarnation, tick) }()
 	<-begun
-	leave()
+	disconnect()
 	stopped := make(chan error, 1)
 	go func() { stopped <- n.app.Stop(context.Background()) }()
 	require.Eventually(t, func() bool {
@@ -76,7 +76,7 @@
 	peers := link.NewDialer(wire.Hello{Fleet: "shop", VM: "orders-1"}, &link.Counters{})
 	defer peers.Close()
 	reply, err := peers.CallNew(t.Context(), n.set.Control, &wire.Seal{Attempt: "none", AskOnly: true})
-	require.NoError(t, err, "attempts can be asked about while the last run goes on")
+	require.NoError(t, err, "attempts can be queried during the last run")
 	require.IsType(t, &wire.Sealed{}, reply)
 	select {
 	case <-stopped:
@@ -90,9 +90,8 @@
 
 var logCall = regexp.MustCompile(`(?i)(?:out\.log|log\.Info|log\.Error)\((?:err, )?"([^"]+)"`)
 
-// An operator looks a log line up and doesn't find it: each line of the program
-// must stand on the operators' page.
-func TestEveryLogLineIsExplained(t *testing.T) {
+// Every log message of the program must be listed on the operators' page.
+func TestEveryLogMessageIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/logs.md")
 	require.NoError(t, err)
 	found := 0
