--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,4 +1,4 @@
-// Package admin is the read-only HTTP API of a node, on an address of its own.
+// Package admin implements a node's read-only HTTP API, which has its own address.
 package admin
 
 import (
@@ -33,18 +33,19 @@
 	PathExplain   = "/v1/explain"
 )
 
-// Node is what the API shows of a node. Its methods are safe for concurrent use.
+// Node is the state of a node that the API exposes. Its methods are safe for
+// concurrent use.
 type Node interface {
-	// Dump copies the control tables; ok is false while the node stops.
+	// Dump returns a copy of the control tables; ok is false while the node is stopping.
 	Dump() (d core.Dump, ok bool)
-	// View is what traffic knows of the fleet, or nil.
+	// View returns the view of the fleet that requests use, or nil.
 	View() *pick.View
 	Load() gate.Load
 	Attempts() (records, stored int)
 	KeyState() attempt.KeyState
-	// Limits are the limits on requests in flight, with their use.
+	// Limits returns the limits on requests in flight, with their use.
 	Limits() []limit.Use
-	// Now is the time since the node's start.
+	// Now returns the time since the node started.
 	Now() time.Duration
 }
 
@@ -59,9 +60,10 @@
 	a := &api{node: n, metrics: m}
 	r := gin.New()
 	r.HandleMethodNotAllowed = true
-	// gin would print each panic to stderr; the answer and the counter of the
-	// HTTP client tell enough, and no one who asks may write lines at will.
-	r.Use(gin.RecoveryWithWriter(io.Discard), onlyByAddress)
+	// gin would print each panic to stderr. The error response and the HTTP client's
+	// counter are enough to notice it, and clients must not be able to write log
+	// lines at will.
+	r.Use(gin.RecoveryWithWriter(io.Discard), requireAddressHost)
 	r.GET(PathMetrics, gin.WrapH(promhttp.HandlerFor(m.Registry, promhttp.HandlerOpts{})))
 	r.GET(PathHealth, func(c *gin.Context) { c.JSON(http.StatusOK, Health{State: "live"}) })
 	r.GET(PathReady, a.ready)
@@ -75,7 +77,7 @@
 	return r
 }
 
-// Failure is the answer to a question that can't be answered.
+// Failure is the body of an error response.
 type Failure struct {
 	Message string `json:"message"`
 }
@@ -84,26 +86,26 @@
 	c.AbortWithStatusJSON(status, Failure{Message: message})
 }
 
-// onlyByAddress refuses requests whose Host is a name. A page in an operator's
-// browser could otherwise have a name of its own resolved to 127.0.0.1 and read
-// the loopback API through it (DNS rebinding).
-func onlyByAddress(c *gin.Context) {
+// requireAddressHost refuses requests whose Host is a name. Otherwise a page in an
+// operator's browser could have its own name resolved to 127.0.0.1 and read the
+// loopback API through it (DNS rebinding).
+func requireAddressHost(c *gin.Context) {
 	host := c.Request.Host
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
 	host = strings.Trim(host, "[]")
 	if host != "localhost" && net.ParseIP(host) == nil {
-		fail(c, http.StatusForbidden, "the API answers only to an address, not to a name")
+		fail(c, http.StatusForbidden, "Host must be an IP address or localhost, not another name")
 	}
 }
 
-// Health says that the process answers.
+// Health reports that the process is up.
 type Health struct {
 	State string `json:"state"`
 }
 
-// Readiness says whether the node takes callers' requests.
+// Readiness reports whether the node accepts callers' requests.
 type Readiness struct {
 	Ready bool   `json:"ready"`
 	Why   string `json:"why,omitempty"`
@@ -129,7 +131,8 @@
 	return ok
 }
 
-// tables gives the control tables, or answers that the node is stopping.
+// tables returns the control tables, or responds with an error if the node is
+// stopping.
 func (a *api) tables(c *gin.Context) (core.Dump, bool) {
 	d, ok := a.node.Dump()
 	if !ok {
@@ -138,7 +141,7 @@
 	return d, ok
 }
 
-// view gives the View in force, or answers that there is none.
+// view returns the View in force, or responds with an error if there is none.
 func (a *api) view(c *gin.Context) *pick.View {
 	v := a.node.View()
 	if v == nil {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -21,7 +21,7 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// fakeNode is a node with a View of its own making.
+// fakeNode is a Node with a fixed View.
 type fakeNode struct {
 	view     *pick.View
 	stopping bool
@@ -41,12 +41,13 @@
 	d := core.Dump{Self: core.Self{Place: pick.Place{VM: "vm-a", Zone: "a", Region: "r"}}}
 	d.Config = core.ConfigDump{Version: config.Version{Revision: 7, Digest: "abc"}, InForceFor: time.Hour}
 	d.Members = map[string]core.MemberDump{
-		"vm-b": {State: wire.MemberLeaving}, "vm-c": {Failures: suspectAfter}, "vm-d": {State: wire.MemberAlive},
+		"vm-b": {State: wire.MemberLeaving}, "vm-c": {Failures: suspectThreshold}, "vm-d": {State: wire.MemberAlive},
 	}
 	return d, !n.stopping
 }
 
-// targets are one candidate and one of each reason why a target isn't one.
+// newNode returns a node with one candidate target and, for each reason why a target
+// isn't a candidate, one target with that reason.
 func newNode(t *testing.T) *fakeNode {
 	t.Helper()
 	f := fleet.Fleet{
@@ -95,25 +96,25 @@
 	}}
 }
 
-func ask(h http.Handler, method, target string) *httptest.ResponseRecorder {
+func do(h http.Handler, method, target string) *httptest.ResponseRecorder {
 	rec := httptest.NewRecorder()
 	req := httptest.NewRequest(method, "http://127.0.0.1:7400"+target, nil)
 	h.ServeHTTP(rec, req)
 	return rec
 }
 
-func read[T any](t *testing.T, h http.Handler, target string) T {
+func getJSON[T any](t *testing.T, h http.Handler, target string) T {
 	t.Helper()
-	rec := ask(h, http.MethodGet, target)
+	rec := do(h, http.MethodGet, target)
 	require.Equal(t, http.StatusOK, rec.Code, rec.Body)
 	var out T
 	require.NoError(t, json.Unmarshal(rec.Body.Bytes(), &out))
 	return out
 }
 
-func TestStatusSumsANodeUp(t *testing.T) {
+func TestStatusAndDump(t *testing.T) {
 	h := New(newNode(t), metrics.New())
-	s := read[Status](t, h, PathStatus)
+	s := getJSON[Status](t, h, PathStatus)
 	require.Equal(t, "vm-a", s.VM)
 	require.Equal(t, uint64(7), s.Config.Revision)
 	require.True(t, s.Serving)
@@ -121,18 +122,18 @@
 	require.Equal(t, []string{"vm-c"}, s.Suspects)
 	require.NotEmpty(t, s.Build.Go)
 
-	c := read[Config](t, h, PathConfig)
+	c := getJSON[Config](t, h, PathConfig)
 	require.Equal(t, []string{"orders"}, c.Services)
 	require.WithinDuration(t, time.Now().Add(-time.Hour), c.Since, time.Minute)
 
-	d := read[Dump](t, h, PathDump)
+	d := getJSON[Dump](t, h, PathDump)
 	require.Equal(t, AttemptsDump{3, 400, attempt.KeyState{}}, d.Attempts)
 	require.Len(t, d.Targets, 5)
 }
 
-func TestTheDocumentsInForceAreGivenBack(t *testing.T) {
+func TestDocumentsInForceAreReturned(t *testing.T) {
 	n := newNode(t)
-	rec := ask(New(n, metrics.New()), http.MethodGet, PathDocuments)
+	rec := do(New(n, metrics.New()), http.MethodGet, PathDocuments)
 	docs, err := fleet.Split(rec.Body.Bytes())
 	require.NoError(t, err)
 	c, err := config.FromDocuments(docs)
@@ -143,7 +144,7 @@
 func TestExplain(t *testing.T) {
 	n := newNode(t)
 	h := New(n, metrics.New())
-	e := read[Explanation](t, h, PathExplain+"?service=orders&method=get&path=/orders/7")
+	e := getJSON[Explanation](t, h, PathExplain+"?service=orders&method=get&path=/orders/7")
 	require.Equal(t, "read", e.Route)
 	require.Equal(t, fleet.RunsIdempotent, e.Runs)
 	require.Equal(t, 2, e.Hops)
@@ -164,34 +165,34 @@
 	require.Equal(t, distanceHere, e.Targets[0].Distance)
 	require.EqualValues(t, 2, e.Targets[0].InFlight)
 
-	e = read[Explanation](t, h, PathExplain+"?host=orders.example&method=POST&path=/orders/confirm")
+	e = getJSON[Explanation](t, h, PathExplain+"?host=orders.example&method=POST&path=/orders/confirm")
 	require.Equal(t, "confirm", e.Route)
 	require.Equal(t, fleet.RunsAtMostOnce, e.Runs)
 
 	s := n.view.Services["orders"]
 	s.Targets[0].Leaving, s.Targets[3].Leaving = true, true
-	e = read[Explanation](t, h, PathExplain+"?service=orders")
+	e = getJSON[Explanation](t, h, PathExplain+"?service=orders")
 	require.Equal(t, "vm-e", e.Chosen)
 	require.Contains(t, e.Why, "(other region), because the own region has no usable target")
 	s.Targets[4].Leaving = true
-	e = read[Explanation](t, h, PathExplain+"?service=orders")
-	require.NotEmpty(t, e.Chosen, "a target that is said to leave is the last resort")
+	e = getJSON[Explanation](t, h, PathExplain+"?service=orders")
+	require.NotEmpty(t, e.Chosen, "a leaving target is the last resort")
 	require.Contains(t, e.Why, "though it is said to leave")
 	for _, target := range s.Targets {
 		target.Guard = ""
 	}
-	e = read[Explanation](t, h, PathExplain+"?service=orders")
+	e = getJSON[Explanation](t, h, PathExplain+"?service=orders")
 	require.Empty(t, e.Chosen)
 	require.Contains(t, e.Why, "no-target")
 }
 
-func TestTeamsAreSeenApart(t *testing.T) {
+func TestTeamsAreReportedSeparately(t *testing.T) {
 	m := metrics.New()
 	m.Answered("orders", "", 0)
 	m.Answered("orders", kind.OverLimit, 0)
 	m.Answered("", kind.UnknownService, 0)
 	h := New(newNode(t), m)
-	teams := read[[]Team](t, h, PathTeams)
+	teams := getJSON[[]Team](t, h, PathTeams)
 	require.Len(t, teams, 2)
 	require.Equal(t, "idle", teams[0].Name)
 	require.Empty(t, teams[0].Answers)
@@ -201,12 +202,12 @@
 	require.Equal(t, map[string]uint64{"backend": 1, "over-limit": 1}, teams[1].Answers)
 	require.Equal(t, map[string]uint64{"over-limit": 1}, teams[1].Services[0].Recent)
 
-	r := read[Refusals](t, h, PathRefusals)
+	r := getJSON[Refusals](t, h, PathRefusals)
 	require.Equal(t, map[string]uint64{"over-limit": 1, "unknown-service": 1}, r.ByKind)
 	require.Equal(t, map[string]uint64{"unknown-service": 1}, r.ByService["_unknown"])
 }
 
-func TestWhatCannotBeAnswered(t *testing.T) {
+func TestErrorResponses(t *testing.T) {
 	tests := map[string]struct {
 		node   *fakeNode
 		method string
@@ -226,14 +227,15 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, test.status, ask(New(test.node, metrics.New()), test.method, test.target).Code)
+			require.Equal(t, test.status, do(New(test.node, metrics.New()), test.method, test.target).Code)
 		})
 	}
 }
 
-// A page in an operator's browser has a name of its own resolved to 127.0.0.1
-// and reads the loopback API. The browser sends that name as Host.
-func TestANameAsHostIsRefused(t *testing.T) {
+// Guards against DNS rebinding: a page in an operator's browser has its own name
+// resolved to 127.0.0.1 and reads the loopback API. The browser sends that name as
+// Host.
+func TestNameAsHostIsRefused(t *testing.T) {
 	h := New(newNode(t), metrics.New())
 	for host, status := range map[string]int{
 		"evil.example": 403, "evil.example:7400": 403, "": 403,
--- a/internal/admin/explain.go
+++ b/internal/admin/explain.go
@@ -13,26 +13,26 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// Explanation says what the node would do with a request now, and why.
+// Explanation describes how the node would handle a request now, and why.
 type Explanation struct {
 	Service string `json:"service"`
 	Team    string `json:"team"`
-	// Route is the route that holds; empty when none matches.
+	// Route is the route that applies; empty if none matches.
 	Route string `json:"route"`
 	Runs  string `json:"runs"`
 	Class int    `json:"class"`
-	// Timeout is the deadline of a request that brings none, MaxTimeout the
-	// longest that it may bring; both as durations.
+	// Timeout is the default deadline of a request, MaxTimeout the longest that a
+	// request may ask for; both as durations.
 	Timeout    string `json:"timeout"`
 	MaxTimeout string `json:"max_timeout"`
 	Hops       int    `json:"hops"`
-	// HedgeAfter is after how long without an answer a request is sent to a
-	// second target as well; empty means that it isn't.
+	// HedgeAfter is the time without an answer after which a request is also sent to a
+	// second target; empty if requests aren't hedged.
 	HedgeAfter string        `json:"hedge_after,omitempty"`
 	Policy     string        `json:"policy"`
 	Limits     []Limit       `json:"limits"`
 	Targets    []TargetState `json:"targets"`
-	// Chosen is the target that a request would go to first; empty for none.
+	// Chosen is the target that a request would go to first; empty if there is none.
 	Chosen string `json:"chosen"`
 	Why    string `json:"why"`
 }
@@ -43,8 +43,8 @@
 	Value int    `json:"value"`
 }
 
-// explain answers what would become of a request: ?service= or ?host=,
-// ?method= and ?path=.
+// explain describes how a request would be handled, given by the parameters service
+// or host, method and path.
 func (a *api) explain(c *gin.Context) {
 	v := a.view(c)
 	if v == nil {
@@ -53,7 +53,7 @@
 	name, host := c.Query("service"), c.Query("host")
 	method, path := strings.ToUpper(c.DefaultQuery("method", http.MethodGet)), c.DefaultQuery("path", "/")
 	if name == "" && host == "" {
-		fail(c, http.StatusBadRequest, "service or host is needed")
+		fail(c, http.StatusBadRequest, "service or host is required")
 		return
 	}
 	if !strings.HasPrefix(path, "/") {
@@ -85,15 +85,15 @@
 		e.Targets = append(e.Targets, stateOf(v, t, now))
 	}
 	e.Why = "no target has a known address: the answer would be no-target"
-	ask := &pick.Ask{Draw: pick.Draw{Now: now, Rand: pick.SharedRand}}
-	if chosen := s.Choose(ask); chosen != nil {
+	request := &pick.Ask{Draw: pick.Draw{Now: now, Rand: pick.SharedRand}}
+	if chosen := s.Choose(request); chosen != nil {
 		e.Chosen = chosen.Place.VM
-		e.Why = why(v, s, chosen, now)
+		e.Why = selectionReason(v, s, chosen, now)
 	}
 	return e
 }
 
-func why(v *pick.View, s *pick.Service, chosen *pick.Target, now time.Duration) string {
+func selectionReason(v *pick.View, s *pick.Service, chosen *pick.Target, now time.Duration) string {
 	reason := fmt.Sprintf("chosen by policy %s (%s)", s.Policy, distance(v, chosen))
 	switch {
 	case chosen.Leaving:
@@ -114,7 +114,7 @@
 	})
 }
 
-// limits lists the limits that hold for a request; those of none are left out.
+// limits returns the limits that apply to a request; unset limits are omitted.
 func limits(v *pick.View, s *pick.Service, route *fleet.Route) []Limit {
 	list := []Limit{
 		{"queue at each target", s.Queue},
--- a/internal/admin/state.go
+++ b/internal/admin/state.go
@@ -23,16 +23,16 @@
 	Load     gate.Load              `json:"load"`
 	Attempts AttemptsDump           `json:"attempts"`
 	Targets  map[string]TargetState `json:"targets"`
-	// HedgeAfterMs is, by service, after how long without an answer a slow
-	// idempotent request is sent to a second target; services without are left out.
+	// HedgeAfterMs is, by service, the time without an answer after which an idempotent
+	// request is also sent to a second target. Services without hedging are omitted.
 	HedgeAfterMs map[string]float64 `json:"hedge_after_ms"`
 }
 
-// AttemptsDump sums up the table of at-most-once attempts.
+// AttemptsDump summarizes the table of at-most-once attempts.
 type AttemptsDump struct {
 	Records     int `json:"records"`
 	StoredBytes int `json:"stored_bytes"`
-	// Keys is how the node stands as a home of callers' own keys.
+	// Keys is the node's state as a holder of callers' own keys.
 	Keys attempt.KeyState `json:"keys"`
 }
 
@@ -59,32 +59,34 @@
 	c.JSON(http.StatusOK, d)
 }
 
-// Status sums a node up, for a look at many nodes at once.
+// Status summarizes a node, for an overview of many nodes.
 type Status struct {
 	VM          string        `json:"vm"`
 	Zone        string        `json:"zone"`
 	Region      string        `json:"region"`
 	Incarnation uint64        `json:"incarnation"`
 	Build       version.Build `json:"build"`
-	// Config is the configuration in force; revision 0 is none.
+	// Config is the version of the configuration in force; revision 0 means none.
 	Config config.Version `json:"config"`
-	// InForceFor is how long it has been in force, in nanoseconds.
+	// InForceFor is how long the configuration has been in force, in nanoseconds.
 	InForceFor time.Duration `json:"in_force_for_ns"`
-	// Refused says why a configuration was refused last; empty if none was.
+	// Refused is the reason for the last refusal of a configuration; empty if none was
+	// refused.
 	Refused string    `json:"refused,omitempty"`
 	Serving bool      `json:"serving"`
 	Leaving bool      `json:"leaving"`
 	Load    gate.Load `json:"load"`
-	// SuspectRequests counts requests like those that crashed backend servers.
+	// SuspectRequests counts the recorded request patterns that crashed backend servers.
 	SuspectRequests int `json:"suspect_requests"`
-	// Leavers and Suspects are the other nodes that this one takes for leaving
-	// or out of reach.
+	// Leavers and Suspects are the other nodes that this node considers leaving or
+	// unreachable.
 	Leavers  []string `json:"leavers"`
 	Suspects []string `json:"suspects"`
 }
 
-// suspectAfter failed exchanges in a row a peer counts as out of reach.
-const suspectAfter = 3
+// suspectThreshold is the number of failed exchanges in a row after which a peer
+// counts as unreachable.
+const suspectThreshold = 3
 
 func (a *api) status(c *gin.Context) {
 	d, ok := a.tables(c)
@@ -101,7 +103,7 @@
 		switch {
 		case m.State == wire.MemberLeaving:
 			s.Leavers = append(s.Leavers, name)
-		case m.State == wire.MemberSuspect || m.Failures >= suspectAfter:
+		case m.State == wire.MemberSuspect || m.Failures >= suspectThreshold:
 			s.Suspects = append(s.Suspects, name)
 		}
 	}
@@ -110,7 +112,7 @@
 	c.JSON(http.StatusOK, s)
 }
 
-// lastRefusal says which version was refused last, and why.
+// lastRefusal returns the revision that was refused last, with the reason.
 func lastRefusal(d core.Dump) string {
 	if len(d.Config.Refused) == 0 {
 		return ""
@@ -119,15 +121,15 @@
 	return fmt.Sprintf("revision %d: %s", r.Version.Revision, r.Reason)
 }
 
-// Config is the configuration in force.
+// Config describes the configuration in force.
 type Config struct {
 	Version config.Version `json:"version"`
-	// Since is when it came into force, by the node's own clock.
+	// Since is the time it came into force, by the node's own clock.
 	Since      time.Time     `json:"since"`
 	InForceFor time.Duration `json:"in_force_for_ns"`
 	Fleet      string        `json:"fleet"`
 	Services   []string      `json:"services"`
-	// Refused are the versions that were refused last, and why.
+	// Refused lists the versions refused most recently, with reasons.
 	Refused []core.RefusalDump `json:"refused"`
 }
 
@@ -151,7 +153,7 @@
 	c.JSON(http.StatusOK, out)
 }
 
-// documents gives the documents in force as the stream that package fleet writes.
+// documents writes the documents in force in the stream format of package fleet.
 func (a *api) documents(c *gin.Context) {
 	v := a.view(c)
 	if v == nil {
@@ -160,11 +162,11 @@
 	c.Status(http.StatusOK)
 	c.Header("Content-Type", "text/plain; charset=utf-8")
 	pub := v.Config.Publication()
-	// Whoever asked is gone when this fails.
+	// An error means that the client has disconnected.
 	_, _ = pub.WriteTo(c.Writer)
 }
 
-// Reasons why a target is or isn't a candidate.
+// States and distances of targets.
 const (
 	StateCandidate   = "candidate"
 	StateFar         = "other region, used when the own region has none"
@@ -177,7 +179,7 @@
 	distanceOtherReg = "other region"
 )
 
-// TargetState is a target as the node sees it now.
+// TargetState is the current state of a target as seen by the node.
 type TargetState struct {
 	VM       string `json:"vm"`
 	Zone     string `json:"zone"`
@@ -188,9 +190,9 @@
 	// InFlight counts the node's own requests at the target.
 	InFlight int32 `json:"in_flight"`
 	Slots    int   `json:"slots"`
-	// EstimateMs is the estimated time to an answer, the way there included.
+	// EstimateMs is the estimated time to an answer, including the round trip.
 	EstimateMs float64 `json:"estimate_ms"`
-	// Incarnation is the target's as last learnt, 0 when unknown.
+	// Incarnation is the target's last known incarnation, 0 if unknown.
 	Incarnation uint64 `json:"incarnation"`
 }
 
--- a/internal/admin/teams.go
+++ b/internal/admin/teams.go
@@ -14,18 +14,19 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// Team is a team's limits and what its services' callers were answered here.
+// Team holds a team's limits and the answers that callers of its services received
+// from this node.
 type Team struct {
 	Name string `json:"name"`
-	// Limit is the declared limit of requests at once at each node; 0 is none.
+	// Limit is the declared limit on concurrent requests at each node; 0 means none.
 	Limit int `json:"in_flight_limit"`
-	// InFlight are the requests at once now, at this node.
+	// InFlight is the current number of concurrent requests at this node.
 	InFlight int64         `json:"in_flight"`
 	Services []TeamService `json:"services"`
 	metrics.Usage
 }
 
-// TeamService is a service's limits and usage.
+// TeamService holds a service's limits and usage.
 type TeamService struct {
 	Name     string       `json:"name"`
 	Limit    int          `json:"in_flight_limit"`
@@ -35,7 +36,7 @@
 	metrics.Usage
 }
 
-// RouteLimit is a route's limits.
+// RouteLimit holds a route's limits.
 type RouteLimit struct {
 	Name     string `json:"name"`
 	Runs     string `json:"runs"`
@@ -64,7 +65,7 @@
 	c.JSON(http.StatusOK, teams)
 }
 
-// tally is what has been counted, by name.
+// tally holds usage and requests in flight, by name.
 type tally struct {
 	usage    map[string]metrics.Usage
 	inFlight map[limit.Scope]map[string]int64
@@ -114,12 +115,12 @@
 	}
 }
 
-// Refusals are the system's own answers of the last while.
+// Refusals counts the recent answers that the system itself made.
 type Refusals struct {
-	// WindowSeconds is how far back they are counted.
+	// WindowSeconds is the length of the period that is counted.
 	WindowSeconds int `json:"window_seconds"`
-	// ByKind are those of all services; ByService those of each, "_unknown"
-	// being requests for no declared service.
+	// ByKind counts over all services, ByService by service. Requests for undeclared
+	// services are counted under "_unknown".
 	ByKind    map[string]uint64            `json:"by_kind"`
 	ByService map[string]map[string]uint64 `json:"by_service"`
 }
