--- a/internal/wire/keys.go
+++ b/internal/wire/keys.go
@@ -7,43 +7,44 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// KeysFormat is the version of the chunks of a key table. A node gives and takes
-// no others.
+// KeysFormat is the format version of key table chunks. Nodes send and accept no
+// other version.
 const KeysFormat = 1
 
-// KeysOffer asks a peer to keep the key table of a node that stops until the
-// next process of its VM comes for it.
+// KeysOffer asks a peer to store the key table of a stopping node until the next
+// process on the node's VM fetches it.
 type KeysOffer struct {
 	Format      uint8  `msgpack:"f"`
 	VM          string `msgpack:"v"`
 	Incarnation uint64 `msgpack:"i"`
-	// Bytes bounds the chunks' data together.
+	// Bytes is the maximum total size of the chunks' data.
 	Bytes uint64 `msgpack:"b"`
-	// HoldMs is how long the table may be kept from now on, in milliseconds.
+	// HoldMs is how long the peer may store the table from now on, in milliseconds.
 	HoldMs uint32 `msgpack:"h"`
 }
 
-// KeysGrant answers a KeysOffer. A Token of 0 is a refusal.
+// KeysGrant is the reply to a KeysOffer. A Token of 0 refuses it.
 type KeysGrant struct {
 	Token uint64 `msgpack:"t"`
 }
 
-// KeysPart is one of a table's parts, in order: to the keeper, and later from it.
+// KeysPart is one part of a key table. Parts are sent in order, first to the peer
+// that stores the table and later from that peer to the next process.
 type KeysPart struct {
 	Token uint64 `msgpack:"t"`
 	Seq   uint32 `msgpack:"s"`
-	// Parts is how many there are; 0 from a keeper that has nothing to give.
+	// Parts is the number of parts; a peer that stores no matching table sends 0.
 	Parts uint32 `msgpack:"n"`
-	// Data is a KeysChunk, encoded; the keeper doesn't read it.
+	// Data is an encoded KeysChunk; the storing peer doesn't decode it.
 	Data []byte `msgpack:"d"`
 }
 
-// KeysKept answers a KeysPart to a keeper.
+// KeysKept is the storing peer's reply to a KeysPart.
 type KeysKept struct {
 	OK bool `msgpack:"o"`
 }
 
-// KeysAsk asks a peer for a part of the table of the predecessor.
+// KeysAsk requests one part of the key table of the VM's previous process.
 type KeysAsk struct {
 	Format      uint8  `msgpack:"f"`
 	VM          string `msgpack:"v"`
@@ -51,27 +52,28 @@
 	Seq         uint32 `msgpack:"s"`
 }
 
-// KeysChunk is what a KeysPart carries. The first one has the Head.
+// KeysChunk is the decoded data of a KeysPart. Only the first chunk has a Head.
 type KeysChunk struct {
 	Head    *KeysHead   `msgpack:"h,omitempty"`
 	Records []KeyRecord `msgpack:"r"`
 }
 
-// KeysHead tells under which rules the records were made. Times are told as
-// ages at the moment when the table was sealed, in milliseconds.
+// KeysHead describes the settings under which the records were made. Times are
+// sent as ages in milliseconds, relative to when the table was sealed.
 type KeysHead struct {
 	Incarnation uint64 `msgpack:"i"`
 	Service     string `msgpack:"s"`
 	LifetimeMs  int64  `msgpack:"l"`
-	// ReachMs is how far the memory reached back; negative in a young process.
+	// ReachMs is the age from which the records are complete. It is negative in a
+	// process that started recently.
 	ReachMs int64       `msgpack:"m"`
 	Targets []string    `msgpack:"t"`
 	Past    []KeysEpoch `msgpack:"p,omitempty"`
-	// Records counts those in all chunks.
+	// Records is the number of records in all chunks.
 	Records int `msgpack:"n"`
 }
 
-// KeysEpoch is an earlier list of targets, and how long ago it ended.
+// KeysEpoch is an earlier list of targets and how long ago it was replaced.
 type KeysEpoch struct {
 	Targets []string `msgpack:"t"`
 	AgoMs   int64    `msgpack:"a"`
@@ -89,7 +91,7 @@
 	Answer *KeyAnswer
 }
 
-// KeyAnswer is a kept answer.
+// KeyAnswer is a stored answer.
 type KeyAnswer struct {
 	//lint:ignore U1000 msgpack reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -98,13 +100,13 @@
 	Body     []byte
 }
 
-// EncodeKeys gives the data of a chunk.
+// EncodeKeys encodes a chunk.
 func EncodeKeys(c *KeysChunk) ([]byte, error) {
 	data, err := msgpack.Marshal(c)
 	return data, eris.Wrap(err, "encode keys")
 }
 
-// DecodeKeys reads the data of a chunk.
+// DecodeKeys decodes a chunk.
 func DecodeKeys(data []byte) (*KeysChunk, error) {
 	c := &KeysChunk{}
 	if err := msgpack.Unmarshal(data, c); err != nil {
@@ -113,17 +115,17 @@
 	return c, nil
 }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*KeysOffer) Type() Type { return TypeKeysOffer }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*KeysGrant) Type() Type { return TypeKeysGrant }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*KeysPart) Type() Type { return TypeKeysPart }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*KeysKept) Type() Type { return TypeKeysKept }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*KeysAsk) Type() Type { return TypeKeysAsk }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire defines the control messages that nodes send each other and how
-// they are framed: a four-byte length, a version, a type, and a msgpack body.
-// Requests and answers of callers never travel here; they go over HTTP.
+// Package wire defines the control messages between nodes and their framing: a
+// four-byte length, a version, a type, and a msgpack body. Callers' requests and
+// answers are not control messages; they are sent over HTTP.
 package wire
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Version is the version of the frames. A node closes connections of another.
+// Version is the frame version. A node closes connections that use another one.
 const Version = 1
 
-// Type tells the message in a frame.
+// Type identifies the message in a frame.
 type Type uint8
 
-// The types of messages. A number once given is never reused.
+// Message types. A number is never reused for another type.
 const (
 	TypeHello Type = 1 + iota
 	TypeGossip
@@ -38,93 +38,98 @@
 
 const (
 	headerSize = 6
-	// smallFrame bounds every message but documents and VM lists.
+	// smallFrame is the size limit of all messages except documents, VM lists and
+	// parts of key tables.
 	smallFrame = 64 << 10
-	// documentFrame bounds a document with its msgpack overhead.
+	// documentFrame is the size limit of a document with its msgpack overhead.
 	documentFrame = 1<<20 + 4096
 )
 
-// Errors of the framing. Each closes the connection it came on.
+// Framing errors. Each of them closes the connection.
 var (
-	ErrVersion  = eris.New("frame of another version")
-	ErrType     = eris.New("frame of an unknown type")
-	ErrTooLarge = eris.New("frame over the size limit")
-	ErrBody     = eris.New("frame body can't be decoded")
+	ErrVersion  = eris.New("unsupported frame version")
+	ErrType     = eris.New("unknown frame type")
+	ErrTooLarge = eris.New("frame exceeds the size limit")
+	ErrBody     = eris.New("invalid frame body")
 )
 
-// Message is one of the control messages of this package.
+// Message is a control message of this package.
 type Message interface{ Type() Type }
 
-// Hello opens every connection and says who dialled.
+// Hello is the first message on every connection and identifies the dialing node.
 type Hello struct {
 	Fleet       string `msgpack:"f"`
 	VM          string `msgpack:"v"`
 	Incarnation uint64 `msgpack:"i"`
 }
 
-// Gossip carries a few pieces of news; the answer to it is a Gossip too.
+// Gossip carries membership and configuration updates. The reply is a Gossip too.
 type Gossip struct {
 	From     string `msgpack:"f"`
 	Revision uint64 `msgpack:"r"`
 	Digest   string `msgpack:"d"`
-	// Serving says that the sender serves, and so knows what is in force.
+	// Serving is true if the sender serves requests, so that Revision and Digest
+	// are those of the configuration in force.
 	Serving bool `msgpack:"j,omitempty"`
-	// VMs is the platform's version of the VM list that the sender has.
+	// VMs is the platform's version of the sender's VM list.
 	VMs uint64 `msgpack:"l"`
-	// VMsAge is how long ago, in milliseconds and at most, the platform showed
-	// that version; 0 is unknown.
+	// VMsAge is an upper bound, in milliseconds, on the time since the platform
+	// returned that version; 0 means unknown.
 	VMsAge   uint32    `msgpack:"a,omitempty"`
 	Members  []Member  `msgpack:"m"`
 	Suspects []Suspect `msgpack:"s,omitempty"`
 }
 
-// MemberState is what is said of a node.
+// MemberState is the reported state of a node.
 type MemberState uint8
 
-// The states of a node, in the order in which later ones override earlier
-// ones of the same incarnation.
+// Node states. For the same incarnation, a later state overrides an earlier one.
 const (
 	MemberAlive MemberState = iota
 	MemberSuspect
 	MemberLeaving
-	// MemberListed is a node that the sender's VM list shows leaving.
+	// MemberListed is a node that is marked as leaving in the sender's VM list.
 	MemberListed
 )
 
-// Member is news of one node. Its fields are sent without their names, because
-// most of the control bytes are these rows; a field once added stays in place.
+// Member is an update about one node. It is encoded as an array, without field
+// names, because these rows make up most of the control traffic. The order of the
+// fields is part of the format.
 type Member struct {
 	//lint:ignore U1000 msgpack reads its tag
 	_msgpack struct{} `msgpack:",as_array"`
 	VM       string
-	// Incarnation is the identity that at-most-once attempts must name.
+	// Incarnation identifies the node's process; at-most-once attempts must name it.
 	Incarnation uint64
 	State       MemberState
-	// Tick is the guard's own coarse tick when the news left it.
+	// Tick is the guard's coarse tick at the time it sent the update.
 	Tick uint64
-	// Order ranks news of one VM name, then Beat does: only the node itself
-	// raises them. Order starts as the incarnation; a node that finds a higher one
-	// under its name, as after its clock was set back, goes above it.
+	// Order, then Beat, rank the updates about one VM name; only the node itself
+	// raises them. Order starts as the incarnation. A node that receives a higher
+	// Order for its own name, as after its clock was set back, raises its Order
+	// above it.
 	Order, Beat uint64
 }
 
-// Suspect is news of a request like those in flight when backend servers died.
+// Suspect describes a request fingerprint that was in flight when backend servers
+// died.
 type Suspect struct {
 	Fingerprint uint64 `msgpack:"f" json:"fingerprint"`
-	// Deaths names the deaths it was in flight at; Alone says, in the same
-	// order, at which of them nothing else ran.
+	// Deaths lists the IDs of the deaths during which it was in flight. Alone
+	// reports, in the same order, whether nothing else was running.
 	Deaths []uint64 `msgpack:"d" json:"deaths"`
 	Alone  []bool   `msgpack:"a" json:"alone"`
-	// Cleared names the deaths that a completed run has cleared it of.
+	// Cleared lists the deaths it is no longer suspected of, because a later run
+	// completed.
 	Cleared []uint64 `msgpack:"c,omitempty" json:"cleared,omitempty"`
-	// ExpiresMs is what is left until it is forgotten, in milliseconds.
+	// ExpiresMs is the time until the suspicion expires, in milliseconds.
 	ExpiresMs uint32 `msgpack:"e" json:"expires_ms"`
 }
 
-// FetchVMs asks for the VM list as the peer has it.
+// FetchVMs requests the peer's VM list.
 type FetchVMs struct{}
 
-// VMs answers a FetchVMs.
+// VMs is the reply to a FetchVMs.
 type VMs struct {
 	Version uint64 `msgpack:"v"`
 	Rows    []VM   `msgpack:"r"`
@@ -138,99 +143,102 @@
 	Leaving  bool
 }
 
-// Fetch asks for a configuration document by the digest of its text; an empty
-// digest asks for the index in force.
+// Fetch requests a configuration document by the digest of its text. An empty
+// digest requests the index in force.
 type Fetch struct {
 	Digest string `msgpack:"d"`
 }
 
-// Document answers a Fetch; an empty Text says that the node doesn't have it.
+// Document is the reply to a Fetch. Text is empty if the node doesn't have the
+// document.
 type Document struct {
 	Digest string `msgpack:"d"`
 	Text   []byte `msgpack:"t"`
 }
 
-// Seal asks what became of an attempt, and seals it if it hasn't started.
+// Seal requests the outcome of an attempt, and seals the attempt if it hasn't
+// started. A sealed attempt never runs.
 type Seal struct {
 	Incarnation uint64 `msgpack:"i"`
 	Attempt     string `msgpack:"a"`
-	// Tick is the one that the attempt named.
+	// Tick is the tick that the attempt named.
 	Tick uint64 `msgpack:"t"`
-	// AskOnly leaves an attempt that hasn't arrived unsealed.
+	// AskOnly requests the state without sealing an attempt that hasn't arrived.
 	AskOnly bool `msgpack:"o,omitempty"`
 }
 
-// AttemptState is the fate of an attempt as its guard knows it.
+// AttemptState is the state of an attempt as recorded by its guard.
 type AttemptState uint8
 
-// The states of an attempt.
+// Attempt states.
 const (
-	// AttemptAbsent is an attempt the guard has no record of and didn't seal.
+	// AttemptAbsent is an attempt that the guard has no record of and didn't seal.
 	AttemptAbsent AttemptState = iota
 	// AttemptSealed will never run.
 	AttemptSealed
 	// AttemptRunning has been recorded and may have reached the backend server.
 	AttemptRunning
-	// AttemptDone has an answer that can be collected.
+	// AttemptDone has completed, and its answer can be collected.
 	AttemptDone
-	// AttemptLost ran, or may have; its answer can't be had.
+	// AttemptLost ran or may have run, but its answer is not available.
 	AttemptLost
-	// AttemptElsewhere belongs to another incarnation than the one asked.
+	// AttemptElsewhere belongs to an incarnation other than the answering one.
 	AttemptElsewhere
-	// AttemptWaiting is at the guard and has not been recorded: it may still be sealed.
+	// AttemptWaiting has arrived at the guard but is not recorded yet; it can still
+	// be sealed.
 	AttemptWaiting
 )
 
-// Sealed answers a Seal.
+// Sealed is the reply to a Seal.
 type Sealed struct {
 	Incarnation uint64       `msgpack:"i"`
 	Tick        uint64       `msgpack:"t"`
 	State       AttemptState `msgpack:"s"`
 }
 
-// Probe asks a node for the load of its backend server.
+// Probe requests the load of a node's backend server.
 type Probe struct{}
 
-// Load answers a Probe, by the guard's own counts.
+// Load is the reply to a Probe, with the guard's own counts.
 type Load struct {
 	Running uint32 `msgpack:"r"`
 	Waiting uint32 `msgpack:"w"`
 	Slots   uint32 `msgpack:"s"`
-	// ServiceUs is how long a slot is held on average, in microseconds.
+	// ServiceUs is the mean service time of a slot, in microseconds.
 	ServiceUs uint32 `msgpack:"t"`
 }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*Hello) Type() Type { return TypeHello }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*Gossip) Type() Type { return TypeGossip }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*Fetch) Type() Type { return TypeFetch }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*Document) Type() Type { return TypeDocument }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*Seal) Type() Type { return TypeSeal }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*Sealed) Type() Type { return TypeSealed }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*FetchVMs) Type() Type { return TypeFetchVMs }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*VMs) Type() Type { return TypeVMs }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*Probe) Type() Type { return TypeProbe }
 
-// Type tells the message's type.
+// Type returns the message type.
 func (*Load) Type() Type { return TypeLoad }
 
-func blank(t Type) (Message, int) {
+func newMessage(t Type) (Message, int) {
 	switch t {
 	case TypeHello:
 		return &Hello{}, smallFrame
@@ -266,13 +274,13 @@
 	return nil, 0
 }
 
-// Encode gives the frame of a message.
+// Encode returns the frame of a message.
 func Encode(m Message) ([]byte, error) {
 	body, err := msgpack.Marshal(m)
 	if err != nil {
 		return nil, eris.Wrap(err, "encode message")
 	}
-	if _, limit := blank(m.Type()); len(body) > limit {
+	if _, limit := newMessage(m.Type()); len(body) > limit {
 		return nil, ErrTooLarge
 	}
 	frame := make([]byte, headerSize, headerSize+len(body))
@@ -282,7 +290,8 @@
 	return append(frame, body...), nil
 }
 
-// Size gives the bytes that a message takes on the wire, zero if it has no frame.
+// Size returns the size of a message's frame in bytes, or zero if the message
+// can't be encoded.
 func Size(m Message) int {
 	frame, err := Encode(m)
 	if err != nil {
@@ -291,8 +300,9 @@
 	return len(frame)
 }
 
-// Read reads one frame. It never allocates more than the type's limit, and
-// grows its buffer only as bytes arrive, so that a length alone costs nothing.
+// Read reads one frame. It never allocates more than the size limit of the type,
+// and it grows its buffer only as bytes arrive, so that a large length without a
+// body doesn't cause a large allocation.
 func Read(r io.Reader) (Message, error) {
 	var head [headerSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -301,7 +311,7 @@
 	if head[4] != Version {
 		return nil, ErrVersion
 	}
-	m, limit := blank(Type(head[5]))
+	m, limit := newMessage(Type(head[5]))
 	if m == nil {
 		return nil, ErrType
 	}
@@ -322,7 +332,8 @@
 	return m, nil
 }
 
-// Write writes the frame of a message with one call to w and gives its size.
+// Write writes the frame of a message with one call to w and returns the number of
+// bytes written.
 func Write(w io.Writer, m Message) (int, error) {
 	frame, err := Encode(m)
 	if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	for _, m := range messages() {
 		frame, err := wire.Encode(m)
 		require.NoError(t, err)
@@ -44,8 +44,8 @@
 	}
 }
 
-// A node's budget for control is 4 KB a second; a Member is most of it.
-func TestAMemberIsSmall(t *testing.T) {
+// A node's budget for control traffic is 4 KB/s, and Member rows make up most of it.
+func TestMemberRowIsAtMost64Bytes(t *testing.T) {
 	row := wire.Member{VM: "catalogue-rs-a-0001", Incarnation: 1 << 60, Tick: 1 << 20, Order: 1 << 60, Beat: 1 << 20}
 	one, err := wire.Encode(&wire.Gossip{Members: []wire.Member{row}})
 	require.NoError(t, err)
@@ -54,8 +54,8 @@
 	require.LessOrEqual(t, len(two)-len(one), 64)
 }
 
-// FuzzRead gives Read whatever a stranger may send: it must return an error or
-// a message that can be sent again, and never panic.
+// FuzzRead passes arbitrary input to Read, which must not panic and must return an
+// error or a message that can be encoded and read again.
 func FuzzRead(f *testing.F) {
 	for _, m := range messages() {
 		frame, err := wire.Encode(m)
