--- a/internal/link/dialer.go
+++ b/internal/link/dialer.go
@@ -11,8 +11,8 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// Dialer sends messages to peers and waits for their answers. It keeps at most
-// one idle connection per peer. Safe for concurrent use.
+// Dialer sends messages to peers and waits for their replies. It keeps at most
+// one idle connection per peer. It is safe for concurrent use.
 type Dialer struct {
 	hello    wire.Hello
 	counters *Counters
@@ -22,36 +22,36 @@
 }
 
 const (
-	// maxIdle bounds the idle connections a dialer keeps.
+	// maxIdle is the maximum number of idle connections of a dialer.
 	maxIdle = 16
-	// unbounded is the time that a call without a deadline has.
-	unbounded = 24 * time.Hour
+	// noDeadlineTimeout is the timeout of a call without a deadline.
+	noDeadlineTimeout = 24 * time.Hour
 )
 
-// NewDialer returns a Dialer that opens each connection with hello.
+// NewDialer returns a Dialer that sends hello first on each connection.
 func NewDialer(hello wire.Hello, c *Counters) *Dialer {
 	return &Dialer{hello: hello, counters: c, dial: new(net.Dialer).DialContext, idle: map[string]net.Conn{}}
 }
 
-// Call sends m to the peer at addr and returns its answer, all of it before ctx's
-// deadline. A kept connection may have gone silent for good while new ones work, so
-// the answer must begin there in half of the time; then, or when it is broken, a new
-// one is tried. The peer may so get m twice.
+// Call sends m to the peer at addr and returns the complete reply, before ctx's
+// deadline. An idle connection may have become unresponsive while new ones work. If
+// its reply hasn't begun after half of the time, or the connection fails, Call
+// retries on a new connection, so that the peer may receive m twice.
 func (d *Dialer) Call(ctx context.Context, addr string, m wire.Message) (wire.Message, error) {
-	return d.call(ctx, addr, m, timeLeft(ctx))
+	return d.call(ctx, addr, m, remainingTime(ctx))
 }
 
-// Fetch does as Call for an answer that may be large: it must begin within the time
-// given, and then only go on.
+// Fetch is like Call, for replies that may be large: the reply must begin within the
+// given time, and after that it must only keep progressing.
 func (d *Dialer) Fetch(ctx context.Context, addr string, m wire.Message, within time.Duration) (wire.Message, error) {
 	return d.call(ctx, addr, m, within)
 }
 
 func (d *Dialer) call(ctx context.Context, addr string, m wire.Message, within time.Duration) (wire.Message, error) {
-	if conn := d.take(addr); conn != nil {
+	if conn := d.takeIdle(addr); conn != nil {
 		reply, err := d.exchange(ctx, conn, m, within/2)
 		if err == nil {
-			d.keep(addr, conn)
+			d.putIdle(addr, conn)
 			return reply, nil
 		}
 		_ = conn.Close()
@@ -62,24 +62,25 @@
 	return d.callNew(ctx, addr, m, within)
 }
 
-// timeLeft gives the time until ctx's deadline, or unbounded if it has none.
-func timeLeft(ctx context.Context) time.Duration {
+// remainingTime returns the time until ctx's deadline, or noDeadlineTimeout if ctx
+// has none.
+func remainingTime(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		return unbounded
+		return noDeadlineTimeout
 	}
 	return time.Until(deadline)
 }
 
-// Cost bounds the bytes that a Call of m sends: on a kept connection that turns
-// out to be closed it is sent twice.
+// MaxSendBytes returns the maximum number of bytes that a Call of m sends. If the
+// idle connection turns out to be closed, m is sent twice.
 func (d *Dialer) Cost(m wire.Message) int {
 	return wire.Size(&d.hello) + 2*wire.Size(m)
 }
 
-// CallNew sends m over a new connection.
+// CallNew is like Call but always opens a new connection.
 func (d *Dialer) CallNew(ctx context.Context, addr string, m wire.Message) (wire.Message, error) {
-	return d.callNew(ctx, addr, m, timeLeft(ctx))
+	return d.callNew(ctx, addr, m, remainingTime(ctx))
 }
 
 func (d *Dialer) callNew(ctx context.Context, addr string, m wire.Message, within time.Duration) (wire.Message, error) {
@@ -92,11 +93,11 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	d.keep(addr, conn)
+	d.putIdle(addr, conn)
 	return reply, nil
 }
 
-// open opens a connection with a greeting.
+// open opens a connection and sends the Hello.
 func (d *Dialer) open(ctx context.Context, addr string, within time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -107,12 +108,12 @@
 	}
 	if err := write(ctx, conn, &d.hello, within, d.counters); err != nil {
 		_ = conn.Close()
-		return nil, eris.Wrap(err, "greet peer")
+		return nil, eris.Wrap(err, "send hello to peer")
 	}
 	return conn, nil
 }
 
-// exchange sends m and reads the answer, which must begin within the time given.
+// exchange sends m and reads the reply, which must begin within the given time.
 func (d *Dialer) exchange(ctx context.Context, conn net.Conn, m wire.Message, within time.Duration) (wire.Message, error) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -128,7 +129,7 @@
 	return reply, nil
 }
 
-func (d *Dialer) take(addr string) net.Conn {
+func (d *Dialer) takeIdle(addr string) net.Conn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	conn := d.idle[addr]
@@ -136,7 +137,7 @@
 	return conn
 }
 
-func (d *Dialer) keep(addr string, conn net.Conn) {
+func (d *Dialer) putIdle(addr string, conn net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.idle[addr] != nil {
@@ -149,8 +150,8 @@
 	d.idle[addr] = conn
 }
 
-// evict closes any one idle connection, so that those of peers which are never
-// called again don't keep new ones out. The mutex is held.
+// evict closes an arbitrary idle connection, so that connections to peers that are
+// no longer called don't block new ones. The caller must hold d.mu.
 func (d *Dialer) evict() {
 	for addr, conn := range d.idle {
 		_ = conn.Close()
--- a/internal/link/frame.go
+++ b/internal/link/frame.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// frameTimeout bounds how long a frame may stand still once it has begun; a
-	// half-sent frame must not hold a goroutine for good. The whole has no limit of its
-	// own: how long it takes depends on its size and on the link.
+	// frameTimeout is how long a frame that has begun may make no progress, so that a
+	// partially sent frame doesn't block a goroutine forever. There is no limit for
+	// the whole frame, because its time depends on its size and on the link.
 	frameTimeout = 2 * time.Second
-	// pieceBytes is how much of a frame is to be written within frameTimeout.
-	pieceBytes = 8 << 10
+	// chunkBytes is the part of a frame that must be written within frameTimeout.
+	chunkBytes = 8 << 10
 )
 
-// pace is that of a frame which has begun.
-var pace = progress.Pace{Stall: frameTimeout, Rate: pieceBytes / 2}
+// pace is the minimum progress of a frame that has begun.
+var pace = progress.Pace{Stall: frameTimeout, Rate: chunkBytes / 2}
 
-// frameReader reads one frame that keeps the pace. Its beginning is up to the read
-// deadline that conn has.
+// frameReader reads one frame and enforces its pace. The first byte must arrive
+// before the read deadline already set on conn.
 type frameReader struct {
 	ctx      context.Context
 	conn     net.Conn
 	counters *Counters
-	begun    time.Time
+	start    time.Time
 	read     int64
 }
 
 func (r *frameReader) Read(p []byte) (int, error) {
-	// The end of ctx sets a deadline in the past, which the one below may have replaced.
+	// When ctx ends, a deadline in the past is set, which the call below may have
+	// overwritten.
 	if err := r.ctx.Err(); err != nil {
 		return 0, err
 	}
@@ -44,14 +45,14 @@
 	}
 	now := time.Now()
 	if r.read == 0 {
-		r.begun = now
+		r.start = now
 	}
 	r.read += int64(n)
-	_ = r.conn.SetReadDeadline(now.Add(pace.Next(r.read, now.Sub(r.begun))))
+	_ = r.conn.SetReadDeadline(now.Add(pace.Next(r.read, now.Sub(r.start))))
 	return n, err
 }
 
-// frameWriter writes a frame in pieces that each have to be taken within stall.
+// frameWriter writes a frame in chunks; each chunk must be written within stall.
 type frameWriter struct {
 	ctx   context.Context
 	conn  net.Conn
@@ -59,12 +60,12 @@
 }
 
 func (w *frameWriter) Write(p []byte) (n int, err error) {
-	for piece := range slices.Chunk(p, pieceBytes) {
+	for chunk := range slices.Chunk(p, chunkBytes) {
 		_ = w.conn.SetWriteDeadline(time.Now().Add(w.stall))
 		if err := w.ctx.Err(); err != nil {
 			return n, err
 		}
-		sent, err := w.conn.Write(piece)
+		sent, err := w.conn.Write(chunk)
 		n += sent
 		if err != nil {
 			return n, err
@@ -73,8 +74,8 @@
 	return n, nil
 }
 
-// write writes m in a frame that may stand still for frameTimeout, or less if the
-// answer to it has less time to begin.
+// write writes the frame of m. The frame may make no progress for frameTimeout, or
+// for less if the reply must begin sooner.
 func write(ctx context.Context, conn net.Conn, m wire.Message, within time.Duration, c *Counters) error {
 	n, err := wire.Write(&frameWriter{ctx, conn, min(within, frameTimeout)}, m)
 	c.Sent.Add(uint64(n))
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,6 +1,6 @@
-// Package link carries control messages between nodes over TCP: a server that
-// answers one message at a time on each connection, and a dialer that keeps a
-// few connections open.
+// Package link transports control messages between nodes over TCP. The server
+// answers one message at a time on each connection, and the dialer reuses idle
+// connections.
 package link
 
 import (
@@ -16,29 +16,31 @@
 )
 
 const (
-	// idleTimeout closes connections no one asks on.
+	// idleTimeout is how long a connection may be idle before it is closed.
 	idleTimeout = 2 * time.Minute
-	// acceptPause follows a failed accept.
+	// acceptPause is the pause after a failed accept.
 	acceptPause = 50 * time.Millisecond
-	// maxConns bounds the connections a node accepts.
+	// maxConns is the maximum number of open connections that a node accepts.
 	maxConns = 512
 )
 
-// Handler answers control messages. It is called from many goroutines at once.
+// Handler answers control messages. It must be safe for concurrent use.
 type Handler interface {
-	// Welcome says whether the node that dialled belongs to the fleet.
+	// Welcome reports whether the dialing node belongs to the fleet.
 	Welcome(h *wire.Hello) bool
-	// Answer gives the reply to a message, or nil to close the connection.
+	// Answer returns the reply to a message, or nil to close the connection.
 	Answer(from string, m wire.Message) wire.Message
 }
 
-// Counters count what passes and what is refused. Safe for concurrent use.
+// Counters count traffic, refused connections and dials. They are safe for
+// concurrent use.
 type Counters struct {
-	// Sent and Received are bytes of frames.
+	// Sent and Received count the bytes of frames.
 	Sent, Received atomic.Uint64
-	// Strangers, BadFrames and Full count refused connections by cause.
+	// Strangers, BadFrames and Full count refused connections by cause: no valid
+	// Hello of the fleet, an invalid frame, and too many connections.
 	Strangers, BadFrames, Full atomic.Uint64
-	// AcceptErrors counts connections that could not be accepted.
+	// AcceptErrors counts failed accepts.
 	AcceptErrors atomic.Uint64
 	// Dials counts connections opened to peers.
 	Dials atomic.Uint64
@@ -98,7 +100,7 @@
 }
 
 func (s *Server) serve(conn net.Conn) {
-	from, ok := s.greet(conn)
+	from, ok := s.handshake(conn)
 	if !ok {
 		return
 	}
@@ -117,8 +119,9 @@
 	}
 }
 
-// greet reads the Hello that must come first and refuses strangers.
-func (s *Server) greet(conn net.Conn) (string, bool) {
+// handshake reads the Hello, which must be the first message, and reports whether
+// the dialing node belongs to the fleet.
+func (s *Server) handshake(conn net.Conn) (string, bool) {
 	m, err := s.read(conn, frameTimeout)
 	if err != nil {
 		return "", false
@@ -131,7 +134,8 @@
 	return hello.VM, true
 }
 
-// read waits up to wait for the first byte of a frame; the rest must keep the pace.
+// read waits up to wait for the first byte of a frame. The rest must arrive at the
+// minimum pace.
 func (s *Server) read(conn net.Conn, wait time.Duration) (wire.Message, error) {
 	r := &frameReader{ctx: context.Background(), conn: conn, counters: s.counters}
 	_ = conn.SetReadDeadline(time.Now().Add(wait))
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -15,8 +15,8 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// pipes is a listener and a dialer over net.Pipe, so that tests run in the
-// time of a synctest bubble.
+// pipes is a listener and a dialer over net.Pipe, so that tests run on the fake
+// clock of a synctest bubble.
 type pipes struct {
 	conns  chan net.Conn
 	once   sync.Once
@@ -48,7 +48,7 @@
 	return here, nil
 }
 
-// echo answers gossip with gossip, for nodes of fleet "test".
+// echo answers each Gossip with a Gossip, for nodes of the fleet "test".
 type echo struct{}
 
 func (echo) Welcome(h *wire.Hello) bool { return h.Fleet == "test" }
@@ -89,10 +89,10 @@
 	return text
 }
 
-// Something that isn't a node of the fleet, or is broken, speaks to the control
-// port. The connection must be closed within seconds and counted, and the
-// server must go on answering others.
-func TestBadFramesCloseTheConnectionOnly(t *testing.T) {
+// A client that is faulty or isn't a node of the fleet connects to the control port.
+// The connection must be closed within frameTimeout and counted, and the server must
+// continue to answer others.
+func TestInvalidFrameClosesOnlyItsConnection(t *testing.T) {
 	hello := &wire.Hello{Fleet: "test", VM: "vm1"}
 	cases := []struct {
 		name  string
@@ -104,10 +104,10 @@
 		{"unknown type", hello, head(0, wire.Version, 200), badFrames},
 		{"too large", hello, head(1<<30, wire.Version, byte(wire.TypeGossip)), badFrames},
 		{"half sent", hello, head(100, wire.Version, byte(wire.TypeGossip)), badFrames},
-		{"no msgpack", hello, append(head(2, wire.Version, byte(wire.TypeGossip)), 0xc1, 0xc1), badFrames},
-		{"a message that is only ever an answer", hello, nil, nil},
-		{"no greeting", nil, frame(t, &wire.Gossip{}), strangers},
-		{"another fleet's greeting", &wire.Hello{Fleet: "other"}, nil, strangers},
+		{"invalid msgpack", hello, append(head(2, wire.Version, byte(wire.TypeGossip)), 0xc1, 0xc1), badFrames},
+		{"a message that is only sent as a reply", hello, nil, nil},
+		{"no hello", nil, frame(t, &wire.Gossip{}), strangers},
+		{"hello of another fleet", &wire.Hello{Fleet: "other"}, nil, strangers},
 		{"HTTP", nil, []byte("GET / HTTP/1.1\r\n\r\n"), badFrames},
 		{"silence", nil, nil, nil},
 	}
@@ -119,7 +119,7 @@
 				if c.hello != nil {
 					_, _ = conn.Write(frame(t, c.hello))
 				}
-				if c.name == "a message that is only ever an answer" {
+				if c.name == "a message that is only sent as a reply" {
 					_, _ = conn.Write(frame(t, &wire.Sealed{}))
 				}
 				start := time.Now()
@@ -160,9 +160,9 @@
 	require.EqualValues(t, 3, reply.(*wire.Gossip).Revision)
 }
 
-// A sender gives a byte a second: each byte alone would keep the connection
-// alive, and a few thousand such senders all of the server's goroutines.
-func TestASlowSenderIsCutOff(t *testing.T) {
+// A sender sends one byte per second. If each byte reset the timeout, a few thousand
+// such senders would occupy all of the server's goroutines.
+func TestConnectionOfSlowSenderIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, counters := serve(t)
 		conn, _ := p.dial(t.Context(), "", "")
@@ -180,9 +180,9 @@
 	})
 }
 
-// More connections than the server takes: the rest are closed and counted, and
-// those that are open still work.
-func TestConnectionsAreBounded(t *testing.T) {
+// With more connections than the server accepts, the excess ones are closed and
+// counted, and the open ones still work.
+func TestConnectionsAboveLimitAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, counters := serve(t)
 		d := newTestDialer(p)
@@ -206,8 +206,9 @@
 	})
 }
 
-// The machine is out of file descriptors for a moment. The server must go on.
-func TestAFailedAcceptIsTriedAgain(t *testing.T) {
+// Accept fails temporarily because the machine is out of file descriptors. The
+// server must continue to accept connections.
+func TestFailedAcceptIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, c := newPipes(), &Counters{}
 		p.fail = 3
@@ -222,40 +223,40 @@
 	})
 }
 
-// A kept connection goes silent for good, as when something between the two
-// ends has lost track of it, while new ones work. The call must still be
-// answered in its time.
-func TestASilentConnectionIsReplaced(t *testing.T) {
+// An idle connection no longer delivers replies, as when a middlebox has dropped its
+// state, while new connections work. The call must still be answered before its
+// deadline.
+func TestUnresponsiveIdleConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := serve(t)
 		d := newTestDialer(p)
-		here, silent := net.Pipe()
+		here, unresponsive := net.Pipe()
 		go func() {
 			buf := make([]byte, 1024)
 			for {
-				if _, err := silent.Read(buf); err != nil {
+				if _, err := unresponsive.Read(buf); err != nil {
 					return
 				}
 			}
 		}()
-		d.keep("a", here)
+		d.putIdle("a", here)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		reply, err := d.Call(ctx, "a", &wire.Gossip{Revision: 5})
 		require.NoError(t, err)
 		require.EqualValues(t, 5, reply.(*wire.Gossip).Revision)
-		_ = silent.Close()
+		_ = unresponsive.Close()
 		d.Close()
 	})
 }
 
-// Connections kept to peers that are never called again must not keep those to
-// others from being kept.
-func TestIdleConnectionsAreReplaced(t *testing.T) {
+// Idle connections to peers that are no longer called must not prevent connections to
+// other peers from being reused.
+func TestIdleConnectionsAreEvictedAtLimit(t *testing.T) {
 	d := NewDialer(wire.Hello{}, &Counters{})
 	for i := range maxIdle + 3 {
 		conn, _ := net.Pipe()
-		d.keep(string(rune('a'+i)), conn)
+		d.putIdle(string(rune('a'+i)), conn)
 		require.NotNil(t, d.idle[string(rune('a'+i))])
 		require.LessOrEqual(t, len(d.idle), maxIdle)
 	}
--- a/internal/link/slow_test.go
+++ b/internal/link/slow_test.go
@@ -14,34 +14,35 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// slowConn carries a piece at a time, each after a pause, as over a slow link.
+// slowConn simulates a slow link: it transfers one chunk at a time, after a pause.
 type slowConn struct {
 	net.Conn
-	piece int
+	chunk int
 	pause time.Duration
 }
 
 func (c *slowConn) Read(p []byte) (int, error) {
 	time.Sleep(c.pause)
-	return c.Conn.Read(p[:min(len(p), c.piece)])
+	return c.Conn.Read(p[:min(len(p), c.chunk)])
 }
 
 func (c *slowConn) Write(p []byte) (n int, err error) {
 	for n < len(p) && err == nil {
 		time.Sleep(c.pause)
 		var sent int
-		sent, err = c.Conn.Write(p[n:min(len(p), n+c.piece)])
+		sent, err = c.Conn.Write(p[n:min(len(p), n+c.chunk)])
 		n += sent
 	}
 	return n, err
 }
 
-// library answers each question for a document with a large one, and takes parts of tables.
-type library struct{ text []byte }
+// documentServer answers each Fetch with a large document and acknowledges each
+// KeysPart.
+type documentServer struct{ text []byte }
 
-func (library) Welcome(*wire.Hello) bool { return true }
+func (documentServer) Welcome(*wire.Hello) bool { return true }
 
-func (l library) Answer(_ string, m wire.Message) wire.Message {
+func (l documentServer) Answer(_ string, m wire.Message) wire.Message {
 	switch m.(type) {
 	case *wire.Fetch:
 		return &wire.Document{Text: l.text}
@@ -53,14 +54,14 @@
 
 const (
 	documentSize = 1 << 20
-	slowPiece    = 8 << 10
+	slowChunk    = 8 << 10
 	slowPause    = 200 * time.Millisecond
 )
 
-// serveLibrary serves large documents over pipes.
-func serveLibrary(t *testing.T) *pipes {
+// serveDocuments serves large documents over pipes.
+func serveDocuments(t *testing.T) *pipes {
 	p := newPipes()
-	s := NewServer(library{make([]byte, documentSize)}, &Counters{})
+	s := NewServer(documentServer{make([]byte, documentSize)}, &Counters{})
 	served := make(chan error)
 	go func() { served <- s.Serve(p) }()
 	t.Cleanup(func() {
@@ -75,28 +76,28 @@
 	d := newTestDialer(p)
 	d.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := p.dial(ctx, network, addr)
-		return &slowConn{conn, slowPiece, slowPause}, err
+		return &slowConn{conn, slowChunk, slowPause}, err
 	}
 	return d
 }
 
-// Guards against a message that is given up while it comes, as over a slow link, and is
-// sent from its first byte again and again.
-func TestAMessageThatKeepsComingIsReadToItsEnd(t *testing.T) {
+// Guards against a timeout while a message is still arriving over a slow link, after
+// which it would be sent again from its first byte, repeatedly.
+func TestSlowMessageThatProgressesIsReadCompletely(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		ask   wire.Message
-		reply wire.Message
+		name    string
+		request wire.Message
+		reply   wire.Message
 	}{
-		{"a large answer", &wire.Fetch{}, &wire.Document{Text: make([]byte, documentSize)}},
-		{"a large question", &wire.KeysPart{Data: make([]byte, documentSize)}, &wire.KeysKept{OK: true}},
+		{"a large reply", &wire.Fetch{}, &wire.Document{Text: make([]byte, documentSize)}},
+		{"a large request", &wire.KeysPart{Data: make([]byte, documentSize)}, &wire.KeysKept{OK: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := slowDialer(serveLibrary(t))
+				d := slowDialer(serveDocuments(t))
 				defer d.Close()
 				for _, connection := range []string{"new", "kept"} {
-					reply, err := d.Call(t.Context(), "a", c.ask)
+					reply, err := d.Call(t.Context(), "a", c.request)
 					require.NoError(t, err, connection)
 					require.Equal(t, c.reply, reply)
 				}
@@ -106,11 +107,11 @@
 	}
 }
 
-// Guards against a peer that asks for much and reads nothing: each such connection would
-// hold a goroutine and a document for good.
-func TestAnAnswerThatIsNotReadIsGivenUp(t *testing.T) {
+// Guards against a peer that requests a large document and stops reading: each such
+// connection would hold a goroutine and a document forever.
+func TestConnectionIsClosedIfReplyIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := serveLibrary(t)
+		p := serveDocuments(t)
 		conn, _ := p.dial(t.Context(), "", "")
 		_, _ = conn.Write(frame(t, &wire.Hello{}))
 		_, _ = conn.Write(frame(t, &wire.Fetch{}))
@@ -122,15 +123,15 @@
 	})
 }
 
-// Guards against a frame of which a byte comes now and then, or nothing more.
-func TestAFrameThatStandsStillIsGivenUp(t *testing.T) {
+// Guards against a frame that stops arriving, or of which only single bytes arrive.
+func TestStalledFrameFailsTheCall(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		bytes int
 		pause time.Duration
 	}{
-		{"stands still", documentSize / 2, time.Hour},
-		{"a byte now and then", 1, time.Second},
+		{"stalls", documentSize / 2, time.Hour},
+		{"one byte per second", 1, time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -142,14 +143,14 @@
 				start := time.Now()
 				_, err := d.Call(t.Context(), "a", &wire.Fetch{})
 				require.Error(t, err)
-				require.Less(t, time.Since(start), time.Minute, "in the bubble's time")
+				require.Less(t, time.Since(start), time.Minute, "on the fake clock")
 			})
 		})
 	}
 }
 
-// sendSlowly answers one connection's question with a part of a document at a time, as
-// long as the other end reads.
+// sendSlowly accepts one connection and sends a document in chunks of size bytes with
+// a pause after each, as long as the other end reads.
 func sendSlowly(t *testing.T, p *pipes, size int, pause time.Duration) {
 	conn, _ := p.Accept()
 	defer func() { _ = conn.Close() }()
@@ -167,15 +168,15 @@
 	}
 }
 
-// Guards against a kept connection whose other end reads nothing any more and that takes
-// up a call's whole time, while new connections work.
-func TestAKeptConnectionThatTakesNothingIsReplaced(t *testing.T) {
+// Guards against an idle connection whose other end no longer reads and which uses up
+// the whole time of a call, while new connections work.
+func TestIdleConnectionWhosePeerDoesNotReadIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDialer(serveLibrary(t))
+		d := newTestDialer(serveDocuments(t))
 		defer d.Close()
 		here, there := net.Pipe()
 		defer func() { _ = there.Close() }()
-		d.keep("a", here)
+		d.putIdle("a", here)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		reply, err := d.Call(ctx, "a", &wire.KeysPart{Data: make([]byte, documentSize)})
