--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	// handTimeout bounds one exchange of a hand-over.
-	handTimeout = time.Second
-	// grantsWanted is how many keepers are found before the table is sealed; the
-	// second is for a first one that fails before it has the whole.
-	grantsWanted = 2
-	// offerMargin is what a table may grow by, in bytes, between offer and seal.
-	offerMargin = 64 << 10
-	// askRounds and askPause pace a new process that asks for its predecessor's
-	// table. A predecessor at another address may still be stopping.
-	askRounds = 5
-	askPause  = time.Second
+	// exchangeTimeout is the timeout of one exchange of a handover.
+	exchangeTimeout = time.Second
+	// wantedGrants is the number of keepers to find before the table is sealed. The
+	// second one is used if the first fails before it has the whole table.
+	wantedGrants = 2
+	// growthMargin is how much a table may grow between offer and seal, in bytes.
+	growthMargin = 64 << 10
+	// takeRounds and takePause limit how often a new process requests its
+	// predecessor's table. A predecessor at another address may still be stopping.
+	takeRounds = 5
+	takePause  = time.Second
 )
 
-var errNotKept = eris.New("the keeper refused a part of the key table")
+var errPartRefused = eris.New("keeper refused a part of the key table")
 
-// KeyCounters count hand-overs of this node's own key table.
+// KeyCounters count handovers of this node's own key table.
 type KeyCounters struct {
-	// Handed tables went whole to a keeper; Taken ones came from one.
+	// Handed counts tables sent completely to a keeper, Taken those received from one.
 	Handed, Taken atomic.Uint64
-	// NotHanded and NotTaken count those that came to nothing: the successor, or
-	// this process, waits.
+	// NotHanded and NotTaken count failed handovers, after which the successor, or
+	// this process, waits as after a crash.
 	NotHanded, NotTaken atomic.Uint64
-	// Bytes are those of table parts sent and taken.
+	// Bytes counts the bytes of table parts sent and received.
 	Bytes atomic.Uint64
 }
 
-// KeyCounters gives the counters of hand-overs.
+// KeyCounters returns the handover counters.
 func (l *Loop) KeyCounters() *KeyCounters { return &l.keys }
 
 func (l *Loop) moment() handover.Moment {
 	return handover.Moment{Up: l.now(), Wall: time.Now().Round(0)}
 }
 
-// HandKeys seals the guard's key table and hands it to a peer for the next
-// process of this VM. It ends with ctx at the latest, and then the next process
-// waits, as after a crash.
+// HandKeys seals the guard's key table and sends it to a peer that stores it for the
+// next process on this VM. If ctx ends first, the next process waits, as after a
+// crash.
 func (l *Loop) HandKeys(ctx context.Context) {
 	if !l.handKeys(ctx) {
 		l.keys.NotHanded.Add(1)
@@ -58,12 +58,12 @@
 }
 
 func (l *Loop) handKeys(ctx context.Context) bool {
-	l.confirm(ctx)
+	l.confirmListing(ctx)
 	bytes, hold, ok := l.guard.KeysToHand()
-	if !ok || bytes+offerMargin > handover.MaxBytes {
+	if !ok || bytes+growthMargin > handover.MaxBytes {
 		return false
 	}
-	grants := l.findKeepers(ctx, bytes+offerMargin, hold)
+	grants := l.findKeepers(ctx, bytes+growthMargin, hold)
 	if len(grants) == 0 {
 		return false
 	}
@@ -75,19 +75,19 @@
 	if err != nil {
 		return false
 	}
-	to, ok := handover.Send(len(grants), len(parts), func(keeper, part int) error {
-		return l.putPart(ctx, grants[keeper], parts, part)
+	chosen, ok := handover.Send(len(grants), len(parts), func(keeper, part int) error {
+		return l.sendPart(ctx, grants[keeper], parts, part)
 	})
 	if ok {
-		l.log.Info("keys handed on", "keeper", grants[to].keeper.VM, "records", len(table.Records))
+		l.log.Info("keys handed on", "keeper", grants[chosen].keeper.VM, "records", len(table.Records))
 	}
 	return ok
 }
 
-// confirm reads the VM list anew, as the platform's last word may be too old to
-// hand keys on by.
-func (l *Loop) confirm(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handTimeout)
+// confirmListing reads the VM list again, because the last read may be too old to
+// allow a handover.
+func (l *Loop) confirmListing(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	asked := l.now()
 	list, err := l.platform.WatchVMs(ctx, 0)
@@ -103,7 +103,7 @@
 	}
 }
 
-// grant is a keeper's promise of room.
+// grant is a keeper's agreement to store the table.
 type grant struct {
 	keeper core.Peer
 	token  uint64
@@ -113,7 +113,7 @@
 	var peers []core.Peer
 	var offer wire.KeysOffer
 	l.Ask(func(s *core.State) {
-		peers = s.StayingKeepers()
+		peers = s.AvailableKeepers()
 		offer = wire.KeysOffer{
 			Format: wire.KeysFormat, VM: s.VM(), Incarnation: s.Incarnation(),
 			Bytes: uint64(bytes), HoldMs: uint32(hold.Milliseconds()),
@@ -125,14 +125,14 @@
 		if g, ok := reply.(*wire.KeysGrant); err == nil && ok && g.Token != 0 {
 			out = append(out, grant{p, g.Token})
 		}
-		if len(out) == grantsWanted {
+		if len(out) == wantedGrants {
 			break
 		}
 	}
 	return out
 }
 
-func (l *Loop) putPart(ctx context.Context, g grant, parts [][]byte, i int) error {
+func (l *Loop) sendPart(ctx context.Context, g grant, parts [][]byte, i int) error {
 	reply, err := l.exchange(ctx, g.keeper.Addr, &wire.KeysPart{
 		Token: g.token, Seq: uint32(i), Parts: uint32(len(parts)), Data: parts[i],
 	})
@@ -140,21 +140,21 @@
 		return err
 	}
 	if kept, ok := reply.(*wire.KeysKept); !ok || !kept.OK {
-		return errNotKept
+		return errPartRefused
 	}
 	l.keys.Bytes.Add(uint64(len(parts[i])))
 	return nil
 }
 
 func (l *Loop) exchange(ctx context.Context, addr string, m wire.Message) (wire.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, handTimeout)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	return l.peers.Call(ctx, addr, m)
 }
 
-// takeKeys asks the peers that may have the predecessor's table for it.
+// takeKeys requests the predecessor's table from the peers that may store it.
 func (l *Loop) takeKeys() {
-	for range askRounds {
+	for range takeRounds {
 		var peers []core.Peer
 		l.Ask(func(s *core.State) { peers = s.Keepers() })
 		for _, p := range peers {
@@ -168,21 +168,21 @@
 		select {
 		case <-l.ctx.Done():
 			return
-		case <-time.After(askPause):
+		case <-time.After(takePause):
 		}
 	}
 }
 
-// takeFrom takes the table from one peer. done says that there is nothing more
-// to ask for anywhere: it has come, or it is lost.
+// takeFrom fetches the table from one peer. done is true if no other peer needs to be
+// asked, because the table was received or is lost.
 func (l *Loop) takeFrom(p core.Peer) (done bool) {
 	take := handover.NewTake(l.moment())
 	for more := true; more; {
-		var ask wire.KeysAsk
+		var request wire.KeysAsk
 		l.Ask(func(s *core.State) {
-			ask = wire.KeysAsk{Format: wire.KeysFormat, VM: s.VM(), Incarnation: s.Incarnation(), Seq: take.Next()}
+			request = wire.KeysAsk{Format: wire.KeysFormat, VM: s.VM(), Incarnation: s.Incarnation(), Seq: take.Next()}
 		})
-		reply, err := l.exchange(l.ctx, p.Addr, &ask)
+		reply, err := l.exchange(l.ctx, p.Addr, &request)
 		part, ok := reply.(*wire.KeysPart)
 		if err != nil || !ok {
 			return false
@@ -202,7 +202,7 @@
 	return true
 }
 
-// answerKeys gives the reply to a peer's message about key tables.
+// answerKeys returns the reply to a peer's message about key tables.
 func (l *Loop) answerKeys(from string, m wire.Message) (reply wire.Message) {
 	ok := l.Ask(func(s *core.State) {
 		now := l.moment()
@@ -210,9 +210,9 @@
 		case *wire.KeysOffer:
 			reply = s.OfferKeys(from, m, now)
 		case *wire.KeysPart:
-			reply = s.PutKeys(from, m, now)
+			reply = s.StoreKeys(from, m, now)
 		case *wire.KeysAsk:
-			reply = s.GiveKeys(from, m, now)
+			reply = s.ServeKeys(from, m, now)
 		}
 	})
 	if !ok {
--- a/internal/control/io.go
+++ b/internal/control/io.go
@@ -28,7 +28,7 @@
 }
 
 func (l *Loop) fetchVMs(c core.FetchVMs) {
-	reply, err := l.peers.Fetch(l.ctx, c.Peer, &wire.FetchVMs{}, documentBegins)
+	reply, err := l.peers.Fetch(l.ctx, c.Peer, &wire.FetchVMs{}, documentStartTimeout)
 	list, ok := reply.(*wire.VMs)
 	if err == nil && !ok {
 		err = errProtocol
@@ -76,12 +76,12 @@
 }
 
 var (
-	errNotHeld  = eris.New("the peer doesn't hold the document")
-	errProtocol = eris.New("the peer answered with another message")
+	errNoDocument = eris.New("peer doesn't have the document")
+	errProtocol   = eris.New("unexpected reply type from peer")
 )
 
 func (l *Loop) document(peer, digest string) ([]byte, error) {
-	reply, err := l.peers.Fetch(l.ctx, peer, &wire.Fetch{Digest: digest}, documentBegins)
+	reply, err := l.peers.Fetch(l.ctx, peer, &wire.Fetch{Digest: digest}, documentStartTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -90,21 +90,21 @@
 		return nil, errProtocol
 	}
 	if len(doc.Text) == 0 {
-		return nil, errNotHeld
+		return nil, errNoDocument
 	}
 	return doc.Text, nil
 }
 
 func (l *Loop) gossip(c core.SendGossip) {
-	asked := l.now()
-	reply, err := l.call(c.Addr, c.News)
-	news, ok := reply.(*wire.Gossip)
+	start := l.now()
+	reply, err := l.call(c.Addr, c.Message)
+	message, ok := reply.(*wire.Gossip)
 	if err != nil || !ok {
 		l.submit(core.GossipFailed{VM: c.VM})
 		return
 	}
-	l.guard.Heard(news.Members)
-	l.submit(core.GossipHeard{News: news, Addr: c.Addr, Prompt: l.now()-asked <= 2*peerTimeout})
+	l.guard.Heard(message.Members)
+	l.submit(core.GossipReceived{Message: message, Addr: c.Addr, Prompt: l.now()-start <= 2*peerTimeout})
 }
 
 func (l *Loop) call(addr string, m wire.Message) (wire.Message, error) {
@@ -113,25 +113,25 @@
 	return l.peers.Call(ctx, addr, m)
 }
 
-// Welcome says whether a node that dialled belongs to the fleet.
+// Welcome reports whether the dialing node belongs to the fleet.
 func (l *Loop) Welcome(h *wire.Hello) bool {
 	welcome := false
 	l.Ask(func(s *core.State) { welcome = s.Welcome(h) })
 	return welcome
 }
 
-// Answer gives the reply to a peer's message.
+// Answer returns the reply to a peer's message, or nil if there is none.
 func (l *Loop) Answer(from string, m wire.Message) wire.Message {
 	switch m := m.(type) {
 	case *wire.Gossip:
 		l.guard.Heard(m.Members)
-		l.submit(core.GossipHeard{News: m})
-		var news *wire.Gossip
-		l.Ask(func(s *core.State) { news = s.News() })
-		if news == nil {
+		l.submit(core.GossipReceived{Message: m})
+		var message *wire.Gossip
+		l.Ask(func(s *core.State) { message = s.GossipMessage() })
+		if message == nil {
 			return nil
 		}
-		return news
+		return message
 	case *wire.Fetch:
 		var text []byte
 		l.Ask(func(s *core.State) { text = s.Document(m.Digest) })
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -1,5 +1,5 @@
-// Package control runs the core: one goroutine owns the control state, ticks
-// it, and has its commands carried out. Results come back as events.
+// Package control runs the core. One goroutine owns the control state, ticks it and
+// executes its commands; the results are passed back to it as events.
 package control
 
 import (
@@ -20,28 +20,30 @@
 )
 
 const (
-	// tickEvery is the longest time between two ticks of the core.
-	tickEvery = 50 * time.Millisecond
-	// eventRoom bounds the events that wait for the next tick.
-	eventRoom = 1024
-	// peerTimeout bounds one exchange with a peer.
+	// tickInterval is the maximum time between two ticks of the core.
+	tickInterval = 50 * time.Millisecond
+	// eventBuffer is the maximum number of events queued for the next tick.
+	eventBuffer = 1024
+	// peerTimeout is the timeout of one exchange with a peer.
 	peerTimeout = time.Second
-	// documentBegins is how long a peer may take to begin an answer that may be large.
-	documentBegins = 3 * time.Second
+	// documentStartTimeout is the time within which a reply that may be large must
+	// begin.
+	documentStartTimeout = 3 * time.Second
 )
 
-// Guard is what the loop needs of the node's guard.
+// Guard is the part of the node's guard that the loop uses.
 type Guard interface {
 	Tick() uint64
 	SetLeaving(leaving bool)
 	SetView(v *pick.View)
 	Seal(m *wire.Seal) *wire.Sealed
-	// Probed answers a probe of a peer, or gives nil if that is over budget.
+	// Probed returns the reply to a peer's probe, or nil if the budget is exceeded.
 	Probed(from string) *wire.Load
-	// Listed and Heard tell what the platform and peers say of the own VM.
+	// Listed reports the address of the own VM in the platform's list, and Heard the
+	// member updates received from a peer.
 	Listed(addr string, at time.Duration)
-	Heard(news []wire.Member)
-	// KeysToHand, SealKeys, WantsKeys and TakeKeys hand the key table from one
+	Heard(updates []wire.Member)
+	// KeysToHand, SealKeys, WantsKeys and TakeKeys transfer the key table from one
 	// process of a VM to the next.
 	KeysToHand() (bytes int, hold time.Duration, ok bool)
 	SealKeys() (*attempt.KeyTable, bool)
@@ -49,13 +51,13 @@
 	TakeKeys(t *attempt.KeyTable) bool
 }
 
-// Entry is what the loop needs of the node's entry.
+// Entry is the part of the node's entry that the loop uses.
 type Entry interface {
 	SetView(v *pick.View)
 	Beat()
 }
 
-// Loop owns the control state. Its methods are safe for concurrent use.
+// Loop owns the control state. It is safe for concurrent use.
 type Loop struct {
 	state    *core.State
 	platform platform.Client
@@ -65,7 +67,7 @@
 	log      logr.Logger
 	now      func() time.Duration
 	events   chan core.Event
-	asks     chan func(*core.State)
+	calls    chan func(*core.State)
 	wg       sync.WaitGroup
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -73,17 +75,18 @@
 	health   health
 	counters atomic.Pointer[core.Counters]
 	keys     KeyCounters
-	// asked says that the predecessor's key table has been asked for.
-	asked bool
+	// keysRequested is true once the predecessor's key table has been requested.
+	keysRequested bool
 }
 
-// health is what the guard's side last saw, until the next tick takes it.
+// health is the last reported status of the backend server and the node. The next
+// tick reads it.
 type health struct {
 	backend  core.BackendState
 	stopping bool
 }
 
-// Config is what a Loop is made of.
+// Config holds the dependencies of a Loop.
 type Config struct {
 	State    *core.State
 	Platform platform.Client
@@ -94,57 +97,58 @@
 	Now      func() time.Duration
 }
 
-// New returns a Loop that does nothing until Start.
+// New returns a Loop. It is idle until Start is called.
 func New(c Config) *Loop {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Loop{
 		state: c.State, platform: c.Platform, peers: c.Peers, guard: c.Guard, entry: c.Entry,
 		log: c.Log, now: c.Now, ctx: ctx, cancel: cancel,
-		events: make(chan core.Event, eventRoom), asks: make(chan func(*core.State)),
+		events: make(chan core.Event, eventBuffer), calls: make(chan func(*core.State)),
 	}
 }
 
 // Start starts the control goroutine.
 func (l *Loop) Start() { l.wg.Go(l.run) }
 
-// Stop ends the control goroutine and all it started.
+// Stop stops the control goroutine and all goroutines it started.
 func (l *Loop) Stop() {
 	l.cancel()
 	l.wg.Wait()
 }
 
-// SetBackend tells how the backend server is.
+// SetBackend sets the state of the backend server.
 func (l *Loop) SetBackend(state core.BackendState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.health.backend = state
 }
 
-// SetStopping tells that the node is stopping.
+// SetStopping marks the node as stopping.
 func (l *Loop) SetStopping() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.health.stopping = true
 }
 
-// isStopping covers a stop that began while a tick was under way: the guard
-// must not take new work again for the length of one tick.
+// isStopping reports whether the node is stopping. It covers a stop that began during
+// a tick, so that the guard doesn't accept new work again until the next tick.
 func (l *Loop) isStopping() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.health.stopping
 }
 
-// Behind tells that the node on a VM has another configuration in force. It
-// never waits: when there is no room the next request tells it again.
+// Behind reports that the node on a VM has another configuration in force. It never
+// blocks: if the event queue is full the report is dropped, and the next request
+// reports it again.
 func (l *Loop) Behind(vm string) {
 	select {
-	case l.events <- core.Behind{VM: vm}:
+	case l.events <- core.ConfigMismatch{VM: vm}:
 	default:
 	}
 }
 
-// Counters gives the core's counters as of the last tick.
+// Counters returns the core's counters as of the last tick.
 func (l *Loop) Counters() core.Counters {
 	if c := l.counters.Load(); c != nil {
 		return *c
@@ -153,7 +157,7 @@
 }
 
 func (l *Loop) run() {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var events []core.Event
 	for {
@@ -162,13 +166,13 @@
 			return
 		case e := <-l.events:
 			events = append(events, e)
-		case ask := <-l.asks:
-			ask(l.state)
+		case call := <-l.calls:
+			call(l.state)
 			continue
 		case <-ticker.C:
 		}
 		events = append(events, l.drain()...)
-		events = append(events, l.backendSeen())
+		events = append(events, l.backendStatus())
 		for _, cmd := range l.state.Tick(core.Input{Now: l.now(), Events: events}) {
 			l.do(cmd)
 		}
@@ -179,8 +183,8 @@
 		if addr, at, ok := l.state.Listed(); ok {
 			l.guard.Listed(addr, at)
 		}
-		if !l.asked && l.guard.WantsKeys() {
-			l.asked = true
+		if !l.keysRequested && l.guard.WantsKeys() {
+			l.keysRequested = true
 			l.wg.Go(l.takeKeys)
 		}
 		events = events[:0]
@@ -189,13 +193,13 @@
 
 // Died reports a request that was in flight when a backend server died.
 func (l *Loop) Died(fingerprint uint64, d suspect.Death) {
-	l.submit(core.SuspectDied{Fingerprint: fingerprint, Death: d})
+	l.submit(core.DeathObserved{Fingerprint: fingerprint, Death: d})
 }
 
-// Cleared reports a suspect that has run to its end.
+// Cleared reports a suspect request that completed.
 func (l *Loop) Cleared(fingerprint uint64) { l.submit(core.SuspectCleared{Fingerprint: fingerprint}) }
 
-// drain takes the events that wait, without waiting for more.
+// drain returns the queued events without waiting for more.
 func (l *Loop) drain() []core.Event {
 	var events []core.Event
 	for {
@@ -208,13 +212,13 @@
 	}
 }
 
-func (l *Loop) backendSeen() core.Event {
+func (l *Loop) backendStatus() core.Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return core.BackendSeen{Tick: l.guard.Tick(), State: l.health.backend, Stopping: l.health.stopping}
+	return core.BackendStatus{Tick: l.guard.Tick(), State: l.health.backend, Stopping: l.health.stopping}
 }
 
-// submit hands an event to the next tick.
+// submit queues an event for the next tick.
 func (l *Loop) submit(e core.Event) {
 	select {
 	case l.events <- e:
@@ -222,12 +226,12 @@
 	}
 }
 
-// Ask runs f on the control goroutine and waits for it. It returns false if
-// the loop has ended; f has then not run.
+// Ask runs f on the control goroutine and waits for it. It returns false, without
+// running f, if the loop has ended.
 func (l *Loop) Ask(f func(*core.State)) bool {
 	done := make(chan struct{})
 	select {
-	case l.asks <- func(s *core.State) { f(s); close(done) }:
+	case l.calls <- func(s *core.State) { f(s); close(done) }:
 		<-done
 		return true
 	case <-l.ctx.Done():
@@ -235,14 +239,14 @@
 	}
 }
 
-// Dump copies the control tables.
+// Dump returns a copy of the control tables. ok is false if the loop has ended.
 func (l *Loop) Dump() (d core.Dump, ok bool) {
 	ok = l.Ask(func(s *core.State) { d = s.Dump(l.now()) })
 	return d, ok
 }
 
-// do carries out a command. What waits for others gets a goroutine of its own;
-// the core bounds how many of each are under way.
+// do executes a command. Commands that wait for a peer or the platform run in their
+// own goroutines; the core limits how many of each kind run at once.
 func (l *Loop) do(cmd core.Command) {
 	switch c := cmd.(type) {
 	case core.Publish:
--- a/internal/control/loop_test.go
+++ b/internal/control/loop_test.go
@@ -20,10 +20,10 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// hanging is a platform that never answers.
-type hanging struct{ waiting, most atomic.Int32 }
+// hangingPlatform never answers.
+type hangingPlatform struct{ waiting, most atomic.Int32 }
 
-func (h *hanging) wait(ctx context.Context) error {
+func (h *hangingPlatform) wait(ctx context.Context) error {
 	now := h.waiting.Add(1)
 	defer h.waiting.Add(-1)
 	h.most.Store(max(h.most.Load(), now))
@@ -31,37 +31,37 @@
 	return ctx.Err()
 }
 
-func (h *hanging) Read(ctx context.Context, _ string) (platform.Value, error) {
+func (h *hangingPlatform) Read(ctx context.Context, _ string) (platform.Value, error) {
 	return platform.Value{}, h.wait(ctx)
 }
 
-func (h *hanging) Watch(ctx context.Context, _ string, _ uint64) (platform.Value, error) {
+func (h *hangingPlatform) Watch(ctx context.Context, _ string, _ uint64) (platform.Value, error) {
 	return platform.Value{}, h.wait(ctx)
 }
 
-func (h *hanging) WatchVMs(ctx context.Context, _ uint64) (platform.VMList, error) {
+func (h *hangingPlatform) WatchVMs(ctx context.Context, _ uint64) (platform.VMList, error) {
 	return platform.VMList{}, h.wait(ctx)
 }
 
-// quiet stands in for guard and entry.
-type quiet struct{ leaving atomic.Bool }
+// stubNode is a stub of the guard and the entry.
+type stubNode struct{ leaving atomic.Bool }
 
-func (*quiet) Tick() uint64                 { return 0 }
-func (q *quiet) SetLeaving(leaving bool)    { q.leaving.Store(leaving) }
-func (*quiet) SetView(*pick.View)           {}
-func (*quiet) Seal(*wire.Seal) *wire.Sealed { return &wire.Sealed{} }
+func (*stubNode) Tick() uint64                 { return 0 }
+func (q *stubNode) SetLeaving(leaving bool)    { q.leaving.Store(leaving) }
+func (*stubNode) SetView(*pick.View)           {}
+func (*stubNode) Seal(*wire.Seal) *wire.Sealed { return &wire.Sealed{} }
 
-func (*quiet) Probed(string) *wire.Load     { return nil }
-func (*quiet) Listed(string, time.Duration) {}
-func (*quiet) Heard([]wire.Member)          {}
-func (*quiet) Beat()                        {}
+func (*stubNode) Probed(string) *wire.Load     { return nil }
+func (*stubNode) Listed(string, time.Duration) {}
+func (*stubNode) Heard([]wire.Member)          {}
+func (*stubNode) Beat()                        {}
 
-func (*quiet) KeysToHand() (int, time.Duration, bool) { return 0, 0, false }
-func (*quiet) SealKeys() (*attempt.KeyTable, bool)    { return nil, false }
-func (*quiet) WantsKeys() bool                        { return false }
-func (*quiet) TakeKeys(*attempt.KeyTable) bool        { return false }
+func (*stubNode) KeysToHand() (int, time.Duration, bool) { return 0, 0, false }
+func (*stubNode) SealKeys() (*attempt.KeyTable, bool)    { return nil, false }
+func (*stubNode) WantsKeys() bool                        { return false }
+func (*stubNode) TakeKeys(*attempt.KeyTable) bool        { return false }
 
-func newLoop(p platform.Client, g *quiet) *control.Loop {
+func newLoop(p platform.Client, g *stubNode) *control.Loop {
 	start := time.Now()
 	return control.New(control.Config{
 		State:    core.New(core.Self{Place: pick.Place{VM: "vm1", Zone: "z"}, Fleet: "test", Incarnation: 1}, 1),
@@ -70,12 +70,12 @@
 	})
 }
 
-// The platform hangs: the control goroutine must go on ticking and answering,
-// with no more than one read of each key under way, and must end when told to.
-func TestAHangingPlatformHoldsUpNothing(t *testing.T) {
+// If the platform hangs, the control goroutine must continue to tick and answer, with
+// at most one read of each key in flight, and must end on Stop.
+func TestHangingPlatformDoesNotBlockLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &hanging{}
-		l := newLoop(p, &quiet{})
+		p := &hangingPlatform{}
+		l := newLoop(p, &stubNode{})
 		l.Start()
 		time.Sleep(time.Minute)
 		_, ok := l.Dump()
@@ -83,16 +83,16 @@
 		require.LessOrEqual(t, p.most.Load(), int32(2))
 		l.Stop()
 		_, ok = l.Dump()
-		require.False(t, ok, "nothing is asked after the end")
+		require.False(t, ok, "Dump fails after Stop")
 	})
 }
 
-// The first sign of leaving must reach the guard within a tick, and a stop must
-// not be taken back by a tick that was under way.
-func TestTheGuardIsToldWithinATick(t *testing.T) {
+// The first sign of leaving must reach the guard within a tick, and a tick in progress
+// must not revert a stop.
+func TestLeavingReachesGuardWithinOneTick(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &quiet{}
-		l := newLoop(&hanging{}, g)
+		g := &stubNode{}
+		l := newLoop(&hangingPlatform{}, g)
 		l.Start()
 		defer l.Stop()
 		time.Sleep(time.Second)
@@ -109,11 +109,11 @@
 	})
 }
 
-// A platform that answers with errors at once must not be read in a hot loop.
-func TestAFailingPlatformIsReadRarely(t *testing.T) {
+// A platform that immediately returns errors must not be read in a busy loop.
+func TestFailingPlatformIsReadWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &failing{}
-		l := newLoop(p, &quiet{})
+		p := &failingPlatform{}
+		l := newLoop(p, &stubNode{})
 		l.Start()
 		time.Sleep(time.Minute)
 		l.Stop()
@@ -121,21 +121,21 @@
 	})
 }
 
-type failing struct{ calls atomic.Int32 }
+type failingPlatform struct{ calls atomic.Int32 }
 
 var errDown = errors.New("down")
 
-func (f *failing) Read(context.Context, string) (platform.Value, error) {
+func (f *failingPlatform) Read(context.Context, string) (platform.Value, error) {
 	f.calls.Add(1)
 	return platform.Value{}, errDown
 }
 
-func (f *failing) Watch(context.Context, string, uint64) (platform.Value, error) {
+func (f *failingPlatform) Watch(context.Context, string, uint64) (platform.Value, error) {
 	f.calls.Add(1)
 	return platform.Value{}, errDown
 }
 
-func (f *failing) WatchVMs(context.Context, uint64) (platform.VMList, error) {
+func (f *failingPlatform) WatchVMs(context.Context, uint64) (platform.VMList, error) {
 	f.calls.Add(1)
 	return platform.VMList{}, errDown
 }
--- a/internal/control/slow_test.go
+++ b/internal/control/slow_test.go
@@ -18,10 +18,11 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// slowListener gives connections over which a piece goes after each pause.
+// slowListener accepts connections that write one chunk at a time, with a pause after
+// each.
 type slowListener struct {
 	net.Listener
-	piece int
+	chunk int
 	pause time.Duration
 }
 
@@ -38,36 +39,36 @@
 func (c *slowConn) Write(p []byte) (n int, err error) {
 	for n < len(p) && err == nil {
 		var sent int
-		sent, err = c.Conn.Write(p[n:min(len(p), n+c.link.piece)])
+		sent, err = c.Conn.Write(p[n:min(len(p), n+c.link.chunk)])
 		n += sent
 		time.Sleep(c.link.pause)
 	}
 	return n, err
 }
 
-// holder is a peer that has a configuration in force.
-type holder struct {
+// configPeer is a peer that has a configuration in force.
+type configPeer struct {
 	index config.Version
 	texts map[string][]byte
 }
 
-func (*holder) Welcome(*wire.Hello) bool { return true }
+func (*configPeer) Welcome(*wire.Hello) bool { return true }
 
-func (h *holder) Answer(_ string, m wire.Message) wire.Message {
+func (h *configPeer) Answer(_ string, m wire.Message) wire.Message {
 	switch m := m.(type) {
 	case *wire.Gossip:
-		return &wire.Gossip{From: "holder", Revision: h.index.Revision, Digest: h.index.Digest, Serving: true}
+		return &wire.Gossip{From: "config-peer", Revision: h.index.Revision, Digest: h.index.Digest, Serving: true}
 	case *wire.Fetch:
 		return &wire.Document{Digest: m.Digest, Text: h.texts[m.Digest]}
 	}
 	return nil
 }
 
-// holderOf serves a configuration over a slow link and gives its address.
-func holderOf(t *testing.T, f fleet.Fleet, slow slowListener) string {
+// serveConfig serves a configuration over a slow link and returns its address.
+func serveConfig(t *testing.T, f fleet.Fleet, slow slowListener) string {
 	pub, err := f.Print()
 	require.NoError(t, err)
-	h := &holder{texts: map[string][]byte{}}
+	h := &configPeer{texts: map[string][]byte{}}
 	for _, doc := range append(pub.Services, pub.Index) {
 		h.texts[config.Digest(doc.Text)] = doc.Text
 	}
@@ -86,7 +87,7 @@
 	return listener.Addr().String()
 }
 
-// largeFleet declares a service with so many routes.
+// largeFleet returns a fleet with one service that has the given number of routes.
 func largeFleet(routes int) fleet.Fleet {
 	s := fleet.Service{
 		Name: "s", Team: "team", Timeout: time.Second,
@@ -101,18 +102,18 @@
 	}
 }
 
-// Guards against a document that a peer sends over a slow link, that is given up while it
-// comes, and asked for from its first byte again and again.
-func TestALargeDocumentArrivesOverASlowLink(t *testing.T) {
+// Guards against a timeout while a document is still arriving over a slow link, after
+// which it would be requested again from its first byte, repeatedly.
+func TestLargeDocumentArrivesOverSlowLink(t *testing.T) {
 	t.Parallel()
-	seed := holderOf(t, largeFleet(1500), slowListener{piece: 4 << 10, pause: 100 * time.Millisecond})
+	peer := serveConfig(t, largeFleet(1500), slowListener{chunk: 4 << 10, pause: 100 * time.Millisecond})
 	start := time.Now()
-	g := &quiet{}
+	g := &stubNode{}
 	l := control.New(control.Config{
 		State: core.New(core.Self{
-			Place: pick.Place{VM: "vm1", Zone: "z", Region: "r"}, Fleet: "test", Incarnation: 1, Seeds: []string{seed},
+			Place: pick.Place{VM: "vm1", Zone: "z", Region: "r"}, Fleet: "test", Incarnation: 1, Seeds: []string{peer},
 		}, 1),
-		Platform: &failing{}, Peers: link.NewDialer(wire.Hello{}, &link.Counters{}), Guard: g, Entry: g, Log: logr.Discard(),
+		Platform: &failingPlatform{}, Peers: link.NewDialer(wire.Hello{}, &link.Counters{}), Guard: g, Entry: g, Log: logr.Discard(),
 		Now: func() time.Duration { return time.Since(start) },
 	})
 	l.Start()
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// maxCandidates bounds the versions whose documents are gathered at a time.
+	// maxCandidates is the maximum number of versions whose documents are being fetched.
 	maxCandidates = 4
-	// maxRefused bounds the refused versions that are remembered.
+	// maxRefused is the maximum number of refused versions that are remembered.
 	maxRefused = 8
 )
 
-// configTable holds the configuration in force and those being gathered.
+// configTable holds the configuration in force and those being fetched.
 type configTable struct {
-	// active is whole and checked; it is only ever replaced by a newer one.
+	// active is complete and validated. It is only replaced by a newer one.
 	active *config.Config
 	since  time.Duration
-	// candidates are versions newer than active, newest first. The first that
-	// is whole goes in force, so one half-published version can't block another.
+	// candidates are versions newer than active, newest first. The first complete one is
+	// activated, so that a partially published version can't block another.
 	candidates []*candidate
 	refused    []refusal
 	// docs are the parsed documents of active and of the candidates.
 	docs     map[config.Entry]*config.Service
 	fetching map[config.Entry]bool
-	// asked are the indexes, or peers, that aren't asked for again until a time,
-	// and asking is how many indexes are being fetched from peers.
-	asked  map[string]time.Duration
-	asking int
-	// held is the newest version that a peer said is in force there.
-	held  config.Version
-	reads platformReads
-	// heardFrom are the peers that answered since the start, and whether they serve.
-	heardFrom map[string]bool
+	// askedUntil is the time before which an index, or a peer's index, isn't fetched
+	// again; indexFetches is the number of index fetches in progress from peers.
+	askedUntil   map[string]time.Duration
+	indexFetches int
+	// newestHeld is the newest version that a peer reported to be in force there.
+	newestHeld config.Version
+	reads      platformReads
+	// answered holds the peers that answered since the start, and whether they serve.
+	answered map[string]bool
 }
 
-// refusal is a version that was refused, and why.
+// refusal is a refused version and the reason.
 type refusal struct {
 	version config.Version
 	reason  string
@@ -45,14 +45,14 @@
 
 func newConfigTable() configTable {
 	return configTable{
-		docs:      map[config.Entry]*config.Service{},
-		fetching:  map[config.Entry]bool{},
-		asked:     map[string]time.Duration{},
-		heardFrom: map[string]bool{},
+		docs:       map[config.Entry]*config.Service{},
+		fetching:   map[config.Entry]bool{},
+		askedUntil: map[string]time.Duration{},
+		answered:   map[string]bool{},
 	}
 }
 
-// version is that of the configuration in force; zero when there is none.
+// version returns the version of the active configuration, or zero if there is none.
 func (t *configTable) version() config.Version {
 	if t.active == nil {
 		return config.Version{}
@@ -69,22 +69,22 @@
 	return nil
 }
 
-// isRefused goes by the digest alone: an index that can't be read was refused
-// without its revision being known.
+// isRefused reports whether v was refused. It compares only digests, because the
+// revision of an index that can't be parsed is unknown.
 func (t *configTable) isRefused(v config.Version) bool {
 	return slices.ContainsFunc(t.refused, func(r refusal) bool { return r.version.Digest == v.Digest })
 }
 
-// wants says whether a version is worth fetching. One that was refused isn't:
-// the checks are the same everywhere and would refuse it again.
-func (t *configTable) wants(v config.Version) bool {
+// needs reports whether a version should be fetched. A refused version isn't fetched
+// again, because the checks would refuse it again.
+func (t *configTable) needs(v config.Version) bool {
 	return v.Newer(t.version()) && !t.isRefused(v)
 }
 
-// offer takes an index text; holder is the peer that has it in force, empty
-// for the platform. An older version is what a stale platform serves. It is
-// dropped, so the configuration in force never goes back.
-func (s *State) offer(text []byte, holder string, now time.Duration, out *commands) {
+// handleIndex processes an index text. holder is the address of the peer that has it in
+// force, or empty for the platform. Older versions, as served by a stale platform, are
+// dropped, so that the configuration in force never reverts.
+func (s *State) handleIndex(text []byte, holder string, now time.Duration, out *commands) {
 	t := &s.config
 	idx, err := config.ParseIndex(text)
 	if err != nil {
@@ -98,7 +98,7 @@
 	if holder == "" && t.version().Newer(idx.Version) {
 		s.counters.OlderIndexes++
 	}
-	if !t.wants(idx.Version) {
+	if !t.needs(idx.Version) {
 		return
 	}
 	c := t.candidate(idx.Version)
@@ -109,12 +109,12 @@
 	if holder == "" && !s.watches() && len(c.holders) == 0 && c.failures == 0 {
 		c.retryAt = now + s.jitter(holderWait)
 	}
-	c.held(holder)
-	s.gather(c, now, out)
+	c.addHolder(holder)
+	s.fetchDocuments(c, now, out)
 }
 
-// enforce puts a candidate in force whose documents are all held.
-func (s *State) enforce(c *candidate, now time.Duration, out *commands) {
+// activate puts a complete candidate in force.
+func (s *State) activate(c *candidate, now time.Duration, out *commands) {
 	t := &s.config
 	services := make([]*config.Service, 0, len(c.index.Entries))
 	for _, e := range c.index.Entries {
@@ -138,7 +138,7 @@
 	s.push(out)
 }
 
-// dropUnused forgets documents that neither active nor a candidate names.
+// dropUnused removes documents that neither active nor a candidate refers to.
 func (t *configTable) dropUnused() {
 	used := map[config.Entry]bool{}
 	for _, e := range t.active.Index.Entries {
@@ -156,7 +156,8 @@
 	}
 }
 
-// refuse keeps the last good configuration and says why, once for each version.
+// refuse drops a version, keeps the configuration in force, and logs the reason once
+// per version.
 func (s *State) refuse(v config.Version, err error, out *commands) {
 	t := &s.config
 	t.candidates = slices.DeleteFunc(t.candidates, func(c *candidate) bool { return c.index.Version == v })
--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -17,7 +17,7 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// TestMain gives rapid one seed, so that every run tries the same cases.
+// TestMain sets a fixed rapid seed, so that every run tests the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "20"); err != nil {
@@ -26,26 +26,27 @@
 	os.Exit(m.Run())
 }
 
-// eighteen is a world of today's size: six zones in three regions.
-func eighteen(t testing.TB, seed uint64) (*world, fleet.Fleet) {
-	f := aFleet(1, 6, 3, 18)
-	w := newWorld(t, f, seed)
+// newEighteenNodes returns a simulation of 18 nodes in six zones and three regions, the
+// size of a current deployment.
+func newEighteenNodes(t testing.TB, seed uint64) (*simulation, fleet.Fleet) {
+	f := newFleet(1, 6, 3, 18)
+	w := newSimulation(t, f, seed)
 	w.until(10*time.Second, "started", w.inForce(1))
 	return w, f
 }
 
-// An operator publishes a change while something is wrong; every node must have
-// it in force soon, and no node may ever go back.
-func TestAChangeIsInForceEverywhere(t *testing.T) {
+// An operator publishes a change during a fault. Every node must apply it within the
+// time limit, and no node may ever revert to an older version.
+func TestChangeIsAppliedOnAllNodesDespiteFaults(t *testing.T) {
 	only := func(zone string) func(string) bool { return func(z string) bool { return z != zone } }
 	cases := []struct {
 		name  string
-		fault func(w *world)
+		fault func(w *simulation)
 		limit time.Duration
 	}{
-		{"nothing wrong", func(*world) {}, time.Second},
-		// The reader of a stale replica sees the old index for long.
-		{"one region's platform stale", func(w *world) {
+		{"no fault", func(*simulation) {}, time.Second},
+		// Nodes that read a stale replica see the old index for a long time.
+		{"one region's platform stale", func(w *simulation) {
 			now := w.now
 			w.asOf = func(zone string) time.Duration {
 				if zone == "z0" || zone == "z3" {
@@ -54,8 +55,8 @@
 				return 1 << 62
 			}
 		}, 5 * time.Second},
-		{"platform down but for one zone", func(w *world) { w.down = only("z4") }, 1500 * time.Millisecond},
-		{"a zone's nodes frozen", func(w *world) {
+		{"platform down except for one zone", func(w *simulation) { w.down = only("z4") }, 1500 * time.Millisecond},
+		{"a zone's nodes frozen", func(w *simulation) {
 			for _, h := range w.hosts {
 				if h.Zone == "z0" {
 					h.frozen = true
@@ -63,7 +64,7 @@
 				}
 			}
 		}, 5 * time.Second},
-		{"a third of the nodes dead", func(w *world) {
+		{"a third of the nodes stopped", func(w *simulation) {
 			for i, h := range w.hosts {
 				h.dead = i%3 == 0
 			}
@@ -71,9 +72,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w, f := eighteen(t, 3)
+			w, f := newEighteenNodes(t, 3)
 			c.fault(w)
-			w.publish(changed(f, 2, 7))
+			w.publish(changedFleet(f, 2, 7))
 			took := w.until(c.limit, "in force", func() bool {
 				for _, h := range w.hosts {
 					if !h.dead && !h.frozen && h.view.Config.Index.Version.Revision != 2 {
@@ -91,33 +92,32 @@
 	}
 }
 
-// A larger fleet hears of a change by peers alone, but for two nodes in each
-// zone. BenchmarkChangeAtTheTargetSize does the same with 885 nodes.
-func TestAChangeIsInForceInALargerFleet(t *testing.T) {
-	t.Logf("in force on 66 nodes after %v", changeInForce(t, aFleet(1, 11, 11, 66)))
+// In a larger fleet, all nodes except two per zone receive a change only from peers.
+// BenchmarkChangeAtTheTargetSize does the same with 885 nodes.
+func TestChangeIsAppliedIn66NodeFleet(t *testing.T) {
+	t.Logf("in force on 66 nodes after %v", timeToApplyChange(t, newFleet(1, 11, 11, 66)))
 }
 
-func changeInForce(t testing.TB, f fleet.Fleet) time.Duration {
-	w := newWorld(t, f, 1)
+func timeToApplyChange(t testing.TB, f fleet.Fleet) time.Duration {
+	w := newSimulation(t, f, 1)
 	w.until(20*time.Second, "started", w.inForce(1))
-	w.publish(changed(f, 2, 7))
+	w.publish(changedFleet(f, 2, 7))
 	return w.until(11*time.Second, "in force", w.inForce(2))
 }
 
-// BenchmarkChangeAtTheTargetSize reports the time of the world, not the machine's.
+// BenchmarkChangeAtTheTargetSize reports simulated time, not real time.
 func BenchmarkChangeAtTheTargetSize(b *testing.B) {
 	for b.Loop() {
-		b.ReportMetric(changeInForce(b, aFleet(1, 11, 59, 59*15)).Seconds(), "s-in-force")
+		b.ReportMetric(timeToApplyChange(b, newFleet(1, 11, 59, 59*15)).Seconds(), "s-in-force")
 	}
 }
 
-// Two operators publish revision 2 at the same time, while the fleet is parted:
-// one half sees one of them, the other half the other, and the platform keeps
-// whichever came last. Once the halves meet, all nodes must have the same one,
-// or a key would have two homes for good.
-func TestTwoOperatorsRace(t *testing.T) {
+// Two operators publish revision 2 at the same time while the fleet is partitioned.
+// Each half sees one of them, and the platform keeps the last one. Once the partition
+// heals, all nodes must have the same one, or a key would permanently have two homes.
+func TestConcurrentPublishesConverge(t *testing.T) {
 	for _, order := range [][2]int{{7, 8}, {8, 7}} {
-		w, f := eighteen(t, 4)
+		w, f := newEighteenNodes(t, 4)
 		west := func(zone string) bool { return zone < "z3" }
 		start := w.now
 		w.asOf = func(zone string) time.Duration {
@@ -128,9 +128,9 @@
 		}
 		w.cut = func(a, b *host) bool { return west(a.Zone) != west(b.Zone) }
 		w.run(tick)
-		w.publish(changed(f, 2, order[0]))
+		w.publish(changedFleet(f, 2, order[0]))
 		w.run(5 * time.Second)
-		w.publish(changed(f, 2, order[1]))
+		w.publish(changedFleet(f, 2, order[1]))
 		w.asOf = func(zone string) time.Duration {
 			if west(zone) {
 				return start + time.Second
@@ -152,16 +152,16 @@
 	}
 }
 
-// A node hears of a version that it refuses, from a peer whose program is
-// newer, at every exchange. It must fetch it once, not each time.
-func TestARefusedVersionIsFetchedOnce(t *testing.T) {
-	w, _ := eighteen(t, 11)
+// At every exchange, a peer with a newer program reports a version that the node
+// refuses. The node must fetch it once, not each time.
+func TestRefusedVersionIsFetchedOnce(t *testing.T) {
+	w, _ := newEighteenNodes(t, 11)
 	h, peer := w.hosts[0], w.hosts[1]
 	bad := []byte("[index]\nrevision = 9\nfleet = test\n[new-section]\n")
 	fetched := h.sent["core.FetchIndex"]
 	answered := fetched
 	for range 200 {
-		h.events = append(h.events, core.GossipHeard{News: &wire.Gossip{From: peer.VM, Revision: 9, Digest: digest(bad)}})
+		h.events = append(h.events, core.GossipReceived{Message: &wire.Gossip{From: peer.VM, Revision: 9, Digest: digest(bad)}})
 		w.step()
 		if h.sent["core.FetchIndex"] > answered {
 			answered = h.sent["core.FetchIndex"]
@@ -172,9 +172,9 @@
 	require.EqualValues(t, 1, h.state.Counters().Refused)
 }
 
-// A change is published wrongly: nodes must keep the last good configuration,
-// say why, ask for nothing in a hot loop, and take the next good one.
-func TestABadChange(t *testing.T) {
+// A change is published incorrectly. Nodes must keep the last good configuration,
+// report the reason, not fetch in a busy loop, and apply the next good change.
+func TestInvalidChangeKeepsLastGoodConfig(t *testing.T) {
 	index := func(f fleet.Fleet) fleet.Document {
 		pub, err := f.Print()
 		require.NoError(t, err)
@@ -182,26 +182,26 @@
 	}
 	cases := []struct {
 		name    string
-		publish func(w *world, f fleet.Fleet)
+		publish func(w *simulation, f fleet.Fleet)
 		refused bool
 	}{
-		{"half published: the index without its new document", func(w *world, f fleet.Fleet) {
-			w.put(fleet.IndexKey, index(changed(f, 2, 7)).Text)
+		{"partially published: the index without its new document", func(w *simulation, f fleet.Fleet) {
+			w.put(fleet.IndexKey, index(changedFleet(f, 2, 7)).Text)
 		}, false},
-		{"a document that doesn't match its digest", func(w *world, f fleet.Fleet) {
-			pub, err := changed(f, 2, 7).Print()
+		{"a document that doesn't match its digest", func(w *simulation, f fleet.Fleet) {
+			pub, err := changedFleet(f, 2, 7).Print()
 			require.NoError(t, err)
 			w.put(pub.Services[0].Key, []byte("[service]\nname = s0\n"))
 			w.put(fleet.IndexKey, pub.Index.Text)
 		}, false},
-		{"not INI", func(w *world, _ fleet.Fleet) { w.put(fleet.IndexKey, []byte("{")) }, true},
-		{"empty", func(w *world, _ fleet.Fleet) { w.put(fleet.IndexKey, nil) }, true},
-		{"another fleet's", func(w *world, f fleet.Fleet) {
+		{"not INI", func(w *simulation, _ fleet.Fleet) { w.put(fleet.IndexKey, []byte("{")) }, true},
+		{"empty", func(w *simulation, _ fleet.Fleet) { w.put(fleet.IndexKey, nil) }, true},
+		{"another fleet's", func(w *simulation, f fleet.Fleet) {
 			f.Name, f.Revision = "other", 2
 			w.put(fleet.IndexKey, index(f).Text)
 		}, true},
-		{"an unknown key in a document", func(w *world, f fleet.Fleet) {
-			pub, err := changed(f, 2, 7).Print()
+		{"an unknown key in a document", func(w *simulation, f fleet.Fleet) {
+			pub, err := changedFleet(f, 2, 7).Print()
 			require.NoError(t, err)
 			old := pub.Services[0].Text
 			bad := []byte(strings.Replace(string(old), "\nhops", "\nhoops", 1))
@@ -213,14 +213,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w, f := eighteen(t, 5)
+			w, f := newEighteenNodes(t, 5)
 			before := w.calls
 			c.publish(w, f)
 			w.run(time.Minute)
-			require.True(t, w.inForce(1)(), "the last good one stays")
-			// Two watchers in each of six zones; each watch 20 s; a missing
-			// document is asked for again after up to 16 s.
-			require.Less(t, w.calls-before, 12*2*4+12*10, "no hot loop")
+			require.True(t, w.inForce(1)(), "keeps the last good one")
+			// There are two watchers in each of six zones, and each watch lasts 20 s. A
+			// missing document is fetched again after up to 16 s.
+			require.Less(t, w.calls-before, 12*2*4+12*10, "no busy loop")
 			if c.refused {
 				refusals := 0
 				for _, h := range w.hosts {
@@ -228,20 +228,20 @@
 				}
 				require.Positive(t, refusals)
 			}
-			// The same revision published again as it should have been, whatever
-			// the order of the digests.
-			w.publish(changed(f, 2, 9))
+			// The same revision is published again correctly. It must be applied whatever the
+			// order of the digests.
+			w.publish(changedFleet(f, 2, 9))
 			w.until(10*time.Second, "the good one in force", w.inForce(2))
 		})
 	}
 }
 
-// A half-published index comes whole later, its document first missing or cut
-// short: the change must be in force then, without being published again.
-func TestAHalfPublishedChangeIsCompleted(t *testing.T) {
+// A document of a published index is missing or truncated at first and is completed
+// later. The change must then be applied without being published again.
+func TestPartiallyPublishedChangeIsAppliedOnceComplete(t *testing.T) {
 	for _, first := range []string{"", "[service]\nname = s0\n"} {
-		w, f := eighteen(t, 6)
-		pub, err := changed(f, 2, 7).Print()
+		w, f := newEighteenNodes(t, 6)
+		pub, err := changedFleet(f, 2, 7).Print()
 		require.NoError(t, err)
 		if first != "" {
 			w.put(pub.Services[0].Key, []byte(first))
@@ -254,17 +254,18 @@
 	}
 }
 
-// A region is cut off for long, its platform too. It keeps what it has,
-// doesn't hammer the platform, and follows within seconds once it is back.
-func TestARegionCutOffForLong(t *testing.T) {
-	w, f := eighteen(t, 7)
+// A region and its platform are isolated for a long time. Its nodes must keep their
+// configuration, not overload the platform with reads, and catch up within seconds of
+// the reconnection.
+func TestIsolatedRegionKeepsConfigAndCatchesUp(t *testing.T) {
+	w, f := newEighteenNodes(t, 7)
 	inside := func(h *host) bool { return h.Region == "r0" }
 	w.cut = func(a, b *host) bool { return inside(a) != inside(b) }
 	w.down = func(zone string) bool { return zone == "z0" || zone == "z3" }
-	// An hour of the world takes long to work out; the pauses reach their
-	// longest within a minute, so fifteen minutes show the same.
+	// Simulating an hour is slow. The backoff reaches its maximum within a minute, so
+	// fifteen minutes are enough.
 	for revision := uint64(2); revision < 5; revision++ {
-		w.publish(changed(f, revision, int(revision)+5))
+		w.publish(changedFleet(f, revision, int(revision)+5))
 		w.run(2 * time.Minute)
 	}
 	before := w.calls
@@ -281,37 +282,37 @@
 	}
 	w.cut = func(_, _ *host) bool { return false }
 	w.down = func(string) bool { return false }
-	t.Logf("in force %v after the link is back", w.until(5*time.Second, "in force", w.inForce(4)))
+	t.Logf("in force %v after the link is restored", w.until(5*time.Second, "in force", w.inForce(4)))
 }
 
-// A node restarts. It has no memory, and the platform serves it an older
-// revision: it must not serve under that one while peers have a newer.
-func TestARestartedNodeIsNeverOlder(t *testing.T) {
+// A node restarts without state, and the platform returns an older revision. The node
+// must not serve under that revision while peers have a newer one.
+func TestRestartedNodeNeverServesOlderConfig(t *testing.T) {
 	cases := []struct {
 		name    string
-		fault   func(w *world, h *host)
+		fault   func(w *simulation, h *host)
 		waits   time.Duration
 		expects uint64
 	}{
-		{"platform stale", func(w *world, h *host) {
+		{"platform stale", func(w *simulation, h *host) {
 			w.asOf = func(zone string) time.Duration { return 0 }
 		}, 5 * time.Second, 2},
-		{"platform down", func(w *world, h *host) {
+		{"platform down", func(w *simulation, h *host) {
 			w.down = func(string) bool { return true }
 		}, 15 * time.Second, 2},
-		{"platform stale, and the first peer that tells it vanishes", func(w *world, h *host) {
+		{"platform stale, and the first peer that reports it becomes unreachable", func(w *simulation, h *host) {
 			w.asOf = func(zone string) time.Duration { return 0 }
 			cutAt := w.now + 200*time.Millisecond
 			w.cut = func(a, b *host) bool {
 				return (a == h || b == h) && w.now > cutAt && w.now < cutAt+5*time.Second
 			}
 		}, 20 * time.Second, 2},
-		{"platform stale, no peer reachable for three seconds", func(w *world, h *host) {
+		{"platform stale, no peer reachable for three seconds", func(w *simulation, h *host) {
 			w.asOf = func(zone string) time.Duration { return 0 }
 			end := w.now + 3*time.Second
 			w.cut = func(a, b *host) bool { return (a == h || b == h) && w.now < end }
 		}, 20 * time.Second, 2},
-		{"platform well, the only reachable peer vanishes once it is asked", func(w *world, h *host) {
+		{"platform available, the only reachable peer becomes unreachable once it is asked", func(w *simulation, h *host) {
 			asked := h.sent["core.FetchDocument"]
 			w.down = func(string) bool { return h.sent["core.FetchDocument"] == asked }
 			w.cut = func(a, b *host) bool {
@@ -321,14 +322,14 @@
 				return a != w.hosts[0] && b != w.hosts[0] || h.sent["core.FetchDocument"] > asked
 			}
 		}, 30 * time.Second, 2},
-		{"platform well, no peer reachable", func(w *world, h *host) {
+		{"platform available, no peer reachable", func(w *simulation, h *host) {
 			w.cut = func(a, b *host) bool { return a == h || b == h }
 		}, 20 * time.Second, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			w, f := eighteen(t, 8)
-			w.publish(changed(f, 2, 7))
+			w, f := newEighteenNodes(t, 8)
+			w.publish(changedFleet(f, 2, 7))
 			w.until(5*time.Second, "in force", w.inForce(2))
 			h := w.hosts[4]
 			h.Seeds = []string{w.hosts[0].addr, w.hosts[9].addr, w.hosts[13].addr}
@@ -341,11 +342,11 @@
 	}
 }
 
-// The platform's replicas disagree: each watch returns at once, with the other
-// state. Without a pause a watcher would read as fast as the platform answers.
-func TestWatchesArePaced(t *testing.T) {
-	w, f := eighteen(t, 9)
-	w.publish(changed(f, 2, 7))
+// The platform's replicas disagree, so that each watch returns at once with the other
+// state. Without a pause, a watcher would read as fast as the platform answers.
+func TestWatchesAreRateLimitedIfReplicasDisagree(t *testing.T) {
+	w, f := newEighteenNodes(t, 9)
+	w.publish(changedFleet(f, 2, 7))
 	w.until(5*time.Second, "in force", w.inForce(2))
 	w.asOf = func(string) time.Duration { return time.Duration(w.now/tick%2) * w.now }
 	before := w.calls
@@ -359,12 +360,13 @@
 	require.Positive(t, older)
 }
 
-// The platform allows two thousand calls a second to all readers, a waiting
-// watch as one. The calls must grow with zones, not with nodes.
+// The platform allows two thousand calls per second for all readers, and a waiting
+// watch counts as one call. The number of calls must grow with the zones, not with the
+// nodes.
 func TestPlatformCallsGrowWithZones(t *testing.T) {
 	perMinute := func(zones, services, nodes int) float64 {
-		f := aFleet(1, zones, services, nodes)
-		w := newWorld(t, f, 1)
+		f := newFleet(1, zones, services, nodes)
+		w := newSimulation(t, f, 1)
 		w.until(20*time.Second, "started", w.inForce(1))
 		w.run(10 * time.Second)
 		before := w.calls
@@ -380,12 +382,12 @@
 	require.Less(t, last, 6*2*2*3*1.5, "two watchers in each zone, two keys, three watches a minute")
 }
 
-// Many faults come and go at random while revisions are published. Nodes never
-// go back (the world checks each View), and all follow once the faults end.
+// Random faults start and end while revisions are published. Nodes must never revert
+// (the simulation checks each View), and all must catch up once the faults end.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		f := aFleet(1, 6, 3, 18)
-		w := newWorld(t, f, rapid.Uint64Range(1, 1000).Draw(rt, "seed"))
+		f := newFleet(1, 6, 3, 18)
+		w := newSimulation(t, f, rapid.Uint64Range(1, 1000).Draw(rt, "seed"))
 		w.until(10*time.Second, "started", w.inForce(1))
 		revision := uint64(1)
 		for range rapid.IntRange(3, 8).Draw(rt, "steps") {
@@ -394,7 +396,7 @@
 			switch rapid.IntRange(0, 7).Draw(rt, "fault") {
 			case 0:
 				revision++
-				w.publish(changed(f, revision, int(revision)))
+				w.publish(changedFleet(f, revision, int(revision)))
 			case 1:
 				now := w.now
 				w.asOf = func(z string) time.Duration {
@@ -431,36 +433,36 @@
 	})
 }
 
-// Requests show that a peer has a newer configuration: it is fetched at once,
-// and a burst of such requests fetches it once.
-func TestARequestShowsThatThisNodeIsBehind(t *testing.T) {
-	w, f := eighteen(t, 10)
-	ahead, behind := w.hosts[0], w.hosts[5]
-	w.cut = func(a, b *host) bool { return a == behind || b == behind }
-	w.down = func(zone string) bool { return zone == behind.Zone }
-	w.publish(changed(f, 2, 7))
-	w.until(5*time.Second, "in force at the other", func() bool { return ahead.best.Revision == 2 })
+// Requests reveal that a peer has a newer configuration. It must be fetched at once,
+// and only once for a burst of such requests.
+func TestNewerConfigSeenInRequestsIsFetchedOnce(t *testing.T) {
+	w, f := newEighteenNodes(t, 10)
+	newer, lagging := w.hosts[0], w.hosts[5]
+	w.cut = func(a, b *host) bool { return a == lagging || b == lagging }
+	w.down = func(zone string) bool { return zone == lagging.Zone }
+	w.publish(changedFleet(f, 2, 7))
+	w.until(5*time.Second, "in force on the other node", func() bool { return newer.best.Revision == 2 })
 	w.cut = func(_, _ *host) bool { return false }
-	before := behind.sent["core.FetchIndex"]
+	before := lagging.sent["core.FetchIndex"]
 	for range 100 {
-		behind.events = append(behind.events, core.Behind{VM: ahead.VM})
+		lagging.events = append(lagging.events, core.ConfigMismatch{VM: newer.VM})
 	}
-	took := w.until(300*time.Millisecond, "in force", func() bool { return behind.best.Revision == 2 })
+	took := w.until(300*time.Millisecond, "in force", func() bool { return lagging.best.Revision == 2 })
 	t.Logf("in force after %v", took)
-	require.LessOrEqual(t, behind.sent["core.FetchIndex"]-before, 3)
+	require.LessOrEqual(t, lagging.sent["core.FetchIndex"]-before, 3)
 }
 
 func digest(text []byte) string { return config.Digest(text) }
 
-// All nodes of a zone restart at once, and their platform is stale. They hear
-// one another first, but none of them remembers anything: only peers that serve
-// can say what is in force.
-func TestAZoneThatRestartsWithAStalePlatform(t *testing.T) {
-	f := aFleet(1, 6, 3, 54)
+// All nodes of a zone restart at once, and their platform is stale. They reach one
+// another first, but none of them has state. Only serving peers know the version in
+// force.
+func TestZoneRestartWithStalePlatformServesNewestConfig(t *testing.T) {
+	f := newFleet(1, 6, 3, 54)
 	for seed := range uint64(3) {
-		w := newWorld(t, f, seed)
+		w := newSimulation(t, f, seed)
 		w.until(20*time.Second, "started", w.inForce(1))
-		w.publish(changed(f, 2, 7))
+		w.publish(changedFleet(f, 2, 7))
 		w.until(5*time.Second, "in force", w.inForce(2))
 		w.asOf = func(zone string) time.Duration {
 			if zone == "z0" {
@@ -473,7 +475,7 @@
 				w.start(h)
 			}
 		}
-		// The links to the other zones come back a little later.
+		// The links to the other zones are restored 5 s later.
 		end := w.now + 5*time.Second
 		w.cut = func(a, b *host) bool { return w.now < end && (a.Zone == "z0") != (b.Zone == "z0") }
 		w.until(20*time.Second, "serving", func() bool {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,7 +1,7 @@
-// Package core holds a node's control state as tables of entities, and the
-// systems that run over them each tick. It takes time, randomness and events as
-// arguments, starts no goroutine and does no I/O: it returns typed commands for
-// others to carry out. A State belongs to one goroutine.
+// Package core holds a node's control state as tables of entities, and the systems that
+// process them on each tick. Time, randomness and events are passed in. The package
+// starts no goroutines and does no I/O; it returns typed commands for the caller to
+// execute. A State must only be used from one goroutine.
 package core
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// Self is what a node knows of itself from its settings and its start.
+// Self describes the node itself, from its settings and its start.
 type Self struct {
 	pick.Place
 	Fleet       string
@@ -24,7 +24,7 @@
 	Seeds       []string
 }
 
-// State is the control state of one node: its tables.
+// State is the control state of one node.
 type State struct {
 	self    Self
 	rnd     *rand.Rand
@@ -36,42 +36,42 @@
 	subsets subsetTable
 	backend backendTable
 	joined  bool
-	// leaving is whether the own backend server leaves, as of the last tick.
+	// leaving is true if the own backend server was leaving at the last tick.
 	leaving bool
 	dirty   bool
 	round   gossipRound
-	// order is what this node's news are ordered by among those of its VM's name.
+	// order ranks this node's updates among all updates about its VM name.
 	order    uint64
 	counters Counters
-	// suspects are requests that may crash backend servers.
+	// suspects are requests suspected of crashing backend servers.
 	suspects   *suspect.Table
 	suspectSet suspect.Set
-	// keeper has key tables of peers that stopped moments ago.
+	// keeper stores the key tables of peers that stopped recently.
 	keeper *handover.Keeper
 	// now is the time of the last tick.
 	now time.Duration
 }
 
-// Counters count what happened to the control state since the start.
+// Counters count events of the control state since the start.
 type Counters struct {
-	// Revision is the one in force.
+	// Revision is the revision in force.
 	Revision uint64 `json:"revision"`
-	// Applied and Refused count configurations put in force and refused.
+	// Applied and Refused count the configurations that were applied and refused.
 	Applied uint64 `json:"applied"`
 	Refused uint64 `json:"refused"`
-	// OlderIndexes counts reads of the platform that gave an older revision.
+	// OlderIndexes counts reads of the platform that returned an older revision.
 	OlderIndexes uint64 `json:"older_indexes"`
-	// Behind counts requests that showed a peer under another configuration.
+	// Behind counts requests that revealed a peer with another configuration.
 	Behind uint64 `json:"behind"`
-	// Suspicions counts peers that this node came to suspect.
+	// Suspicions counts how often this node began to suspect a peer.
 	Suspicions uint64 `json:"suspicions"`
-	// NameClashes counts news of another process under this VM's name.
+	// NameClashes counts updates about another process under this VM's name.
 	NameClashes uint64 `json:"name_clashes"`
-	// Keys counts peers' key tables that this node kept.
+	// Keys counts the key tables stored for peers.
 	Keys handover.Counts `json:"keys"`
 }
 
-// Counters gives a copy of the counters.
+// Counters returns a copy of the counters.
 func (s *State) Counters() Counters {
 	c := s.counters
 	c.Revision = s.inForce().Revision
@@ -79,14 +79,14 @@
 	return c
 }
 
-// Input is what one tick gets from outside.
+// Input is the input of one tick.
 type Input struct {
-	// Now is the time since the node's start, of a monotonic clock.
+	// Now is the time since the node's start, on a monotonic clock.
 	Now    time.Duration
 	Events []Event
 }
 
-// New returns the state of a node that has just started.
+// New returns the initial state of a node.
 func New(self Self, seed uint64) *State {
 	rnd := rand.New(rand.NewPCG(seed, self.Incarnation))
 	return &State{
@@ -104,8 +104,8 @@
 	}
 }
 
-// Tick takes the events since the last tick, runs every system once, and
-// returns what is to be done.
+// Tick applies the events since the last tick, runs every system once, and returns the
+// commands to execute.
 func (s *State) Tick(in Input) []Command {
 	out := &commands{}
 	s.now = in.Now
@@ -122,19 +122,19 @@
 	return out.list
 }
 
-// Event is something that happened outside of the core.
+// Event is something that happened outside the core.
 type Event interface {
 	apply(s *State, now time.Duration, out *commands)
 }
 
-// Command is something the core wants done. The result comes back as an Event.
+// Command is an action requested by the core. Its result is returned as an Event.
 type Command interface{ command() }
 
 type commands struct{ list []Command }
 
 func (c *commands) add(cmd Command) { c.list = append(c.list, cmd) }
 
-// The commands of the core.
+// Commands of the core.
 type (
 	// ReadIndex reads the index from the platform; with Watch it waits for a
 	// platform version other than After. Answered by IndexRead.
@@ -145,26 +145,26 @@
 	// WatchVMs waits for a VM list version other than After; with an After of
 	// zero it reads the list at once. Answered by VMsRead.
 	WatchVMs struct{ After uint64 }
-	// FetchVMs gets the VM list from the peer at Peer. Answered by VMsRead.
+	// FetchVMs fetches the VM list from the peer at address Peer. Answered by VMsRead.
 	FetchVMs struct{ Peer string }
-	// FetchDocument gets a document from the platform, or from the peer at Peer
-	// if that isn't empty. Answered by DocumentRead.
+	// FetchDocument fetches a document from the peer at address Peer, or from the
+	// platform if Peer is empty. Answered by DocumentRead.
 	FetchDocument struct {
 		Entry config.Entry
 		Peer  string
 	}
-	// FetchIndex gets an index from the peer at Peer; an empty Digest is the one
-	// in force there. Answered by IndexRead.
+	// FetchIndex fetches an index from the peer at address Peer; an empty Digest requests
+	// the index in force there. Answered by IndexRead.
 	FetchIndex struct{ Digest, Peer string }
-	// SendGossip sends news to a peer. Answered by GossipHeard
-	// or GossipFailed.
+	// SendGossip sends a gossip message to a peer. Answered by GossipReceived or
+	// GossipFailed.
 	SendGossip struct {
 		VM, Addr string
-		News     *wire.Gossip
+		Message  *wire.Gossip
 	}
-	// Publish puts a new View before the traffic goroutines.
+	// Publish makes a new View available to the goroutines that handle requests.
 	Publish struct{ View *pick.View }
-	// Log reports a change of state.
+	// Log logs a state change.
 	Log struct {
 		Message string
 		Pairs   []any
--- a/internal/core/dump.go
+++ b/internal/core/dump.go
@@ -10,7 +10,7 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// Dump is a copy of every table, for people to read.
+// Dump is a copy of all tables for diagnosis.
 type Dump struct {
 	Self     Self                  `json:"self"`
 	Joined   bool                  `json:"joined"`
@@ -20,42 +20,42 @@
 	Members  map[string]MemberDump `json:"members"`
 	Counters Counters              `json:"counters"`
 	Suspects []wire.Suspect        `json:"suspects"`
-	// KeyTables are those of stopped peers that this node keeps.
+	// KeyTables are the key tables stored for stopped peers.
 	KeyTables map[string]handover.Held `json:"key_tables"`
 }
 
-// ConfigDump is the configuration in force, those being gathered, and those
-// refused last.
+// ConfigDump describes the configuration in force, those being fetched, and those
+// refused most recently.
 type ConfigDump struct {
-	// Version is in force; it is zero until the node serves.
+	// Version is the version in force; it is zero until the node serves.
 	Version config.Version `json:"version"`
-	// Held is whole here. Before the node serves it may be an older one, from a
-	// platform that is stale, so nothing acts on it yet.
+	// Held is the newest complete version on this node. Before the node serves, it may be
+	// an older version from a stale platform and is not used yet.
 	Held       config.Version  `json:"held"`
 	InForceFor time.Duration   `json:"in_force_for_ns"`
 	Gathering  []CandidateDump `json:"gathering,omitempty"`
 	Refused    []RefusalDump   `json:"refused,omitempty"`
 	Watches    bool            `json:"watches"`
-	// ReadFailures counts failed reads of the platform's index in a row.
+	// ReadFailures counts consecutive failed reads of the platform's index.
 	ReadFailures int `json:"read_failures"`
-	// ReadAgo is the time since the last read that succeeded.
+	// ReadAgo is the time since the last successful read.
 	ReadAgo time.Duration `json:"read_ago_ns"`
 }
 
-// CandidateDump is a version that isn't whole yet.
+// CandidateDump describes a version that isn't complete yet.
 type CandidateDump struct {
 	Version  config.Version `json:"version"`
 	Missing  []string       `json:"missing"`
 	Failures int            `json:"failures"`
 }
 
-// RefusalDump is a version that was refused.
+// RefusalDump describes a refused version.
 type RefusalDump struct {
 	Version config.Version `json:"version"`
 	Reason  string         `json:"reason"`
 }
 
-// VMsDump is the VM list as this node has it.
+// VMsDump is this node's copy of the VM list.
 type VMsDump struct {
 	Version uint64                 `json:"version"`
 	Rows    map[string]platform.VM `json:"rows"`
@@ -71,7 +71,7 @@
 	Suspected   bool             `json:"suspected"`
 }
 
-// Dump copies the tables.
+// Dump returns a copy of the tables.
 func (s *State) Dump(now time.Duration) Dump {
 	d := Dump{
 		Self: s.self, Joined: s.joined, Leaving: s.Leaving(), Config: s.dumpConfig(now),
@@ -81,7 +81,7 @@
 	}
 	for name, m := range s.members.rows {
 		d.Members[name] = MemberDump{
-			m.news.Incarnation, m.news.State, m.news.Tick, now - m.heard, m.failures, s.suspected(name),
+			m.update.Incarnation, m.update.State, m.update.Tick, now - m.lastSeen, m.failures, s.suspected(name),
 		}
 	}
 	return d
@@ -91,7 +91,7 @@
 	t := &s.config
 	d := ConfigDump{
 		Version: s.inForce(), Held: t.version(), Watches: s.watches(),
-		ReadFailures: t.reads.failures, ReadAgo: now - t.reads.heard,
+		ReadFailures: t.reads.failures, ReadAgo: now - t.reads.lastSuccess,
 	}
 	if s.joined {
 		d.InForceFor = now - t.since
@@ -111,8 +111,8 @@
 	return d
 }
 
-// Document gives the text of a document or index in force, by digest, for
-// peers. An empty digest gives the index.
+// Document returns the text of a document or index for peers, by digest, or nil if this
+// node doesn't have it. An empty digest returns the index in force.
 func (s *State) Document(digest string) []byte {
 	active := s.config.active
 	if active == nil {
--- a/internal/core/gather.go
+++ b/internal/core/gather.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// maxHolders bounds the peers remembered as holding a candidate.
+	// maxHolders is the maximum number of peers remembered as holding a candidate.
 	maxHolders = 4
-	// documentsAtOnce bounds the documents being fetched at a time.
-	documentsAtOnce = 4
-	// holderWait is how long a node that doesn't watch the platform waits for a
+	// maxDocumentFetches is the maximum number of concurrent document fetches.
+	maxDocumentFetches = 4
+	// holderWait is how long a node that doesn't watch the platform wait for a
 	// peer that holds a candidate before it reads documents from the platform.
 	holderWait = 500 * time.Millisecond
-	// maxDocumentPause bounds the growing pause after failed fetches.
+	// maxDocumentPause is the upper limit of the backoff after failed fetches.
 	maxDocumentPause = 8 * time.Second
 )
 
 // candidate is an index whose documents are still being fetched.
 type candidate struct {
 	index *config.Index
-	// holders are control addresses of peers that have it in force.
+	// holders are the control addresses of peers that have it in force.
 	holders []string
-	// everHeld says that some peer had it in force, even if none can be asked now.
+	// everHeld is true if some peer had it in force, even if none can be asked now.
 	everHeld bool
 	retryAt  time.Duration
 	// since is when the candidate was first seen.
@@ -33,8 +33,9 @@
 	failures int
 }
 
-// admit adds a candidate in its place. When there are too many, the lowest
-// that no peer holds goes first: nothing shows that it was ever whole.
+// admit inserts a candidate in order. If there are too many, it drops the oldest
+// candidate that no peer ever held, because such a version may never have been
+// complete.
 func (t *configTable) admit(c *candidate) {
 	t.candidates = append(t.candidates, c)
 	slices.SortFunc(t.candidates, func(a, b *candidate) int {
@@ -56,8 +57,9 @@
 	t.candidates = slices.Delete(t.candidates, drop, drop+1)
 }
 
-// held remembers a peer that has the candidate in force, and asks it at once.
-func (c *candidate) held(addr string) {
+// addHolder records a peer that has the candidate in force. For the first holder, the
+// next fetch is due at once.
+func (c *candidate) addHolder(addr string) {
 	if addr == "" || slices.Contains(c.holders, addr) {
 		return
 	}
@@ -71,8 +73,9 @@
 	c.holders = append(c.holders, addr)
 }
 
-// source is where the candidate's next document is fetched: a peer that has it
-// in force, so that the platform's reads don't grow with the fleet, else the platform.
+// source returns the address to fetch the candidate's next document from: a random peer
+// that has it in force, so that reads of the platform don't grow with the fleet, or
+// empty for the platform if there is no such peer.
 func (c *candidate) source(rnd *rand.Rand) string {
 	if len(c.holders) == 0 {
 		return ""
@@ -80,39 +83,39 @@
 	return c.holders[rnd.IntN(len(c.holders))]
 }
 
-// awaits says whether a node that has just started waits for more holders. The
-// first one to answer would give it the whole configuration; where a
-// zone restarts at once, some holder is the first for many and would send more than
-// its share of control bytes.
-func (s *State) awaits(c *candidate, now time.Duration) bool {
+// waitsForHolders reports whether a starting node wait for more holders. Otherwise the
+// first holder to answer would send it the whole configuration. When a zone restarts,
+// the same holder may be the first for many nodes and would exceed its control traffic
+// budget.
+func (s *State) waitsForHolders(c *candidate, now time.Duration) bool {
 	return !s.joined && len(c.holders) < min(maxHolders, s.knownPeers()) && now < c.since+holderWait
 }
 
-// gather asks for documents that aren't held yet, a few at a time; with all of
-// them held the configuration is put in force.
-func (s *State) gather(c *candidate, now time.Duration, out *commands) {
+// fetchDocuments requests the missing documents of a candidate, a few at a time, and
+// activates the candidate once none is missing.
+func (s *State) fetchDocuments(c *candidate, now time.Duration, out *commands) {
 	t := &s.config
-	missing, waits := 0, now < c.retryAt || s.awaits(c, now)
+	missing, wait := 0, now < c.retryAt || s.waitsForHolders(c, now)
 	for _, e := range c.index.Entries {
 		if t.docs[e] != nil {
 			continue
 		}
 		missing++
-		if waits || t.fetching[e] || len(t.fetching) >= documentsAtOnce {
+		if wait || t.fetching[e] || len(t.fetching) >= maxDocumentFetches {
 			continue
 		}
 		t.fetching[e] = true
 		out.add(FetchDocument{Entry: e, Peer: c.source(s.rnd)})
 	}
 	if missing == 0 {
-		s.enforce(c, now, out)
+		s.activate(c, now, out)
 	}
 }
 
 // DocumentRead is the result of a FetchDocument.
 type DocumentRead struct {
 	Entry config.Entry
-	// Peer is where it was fetched, empty for the platform.
+	// Peer is the address it was fetched from, empty for the platform.
 	Peer string
 	Text []byte
 	Err  error
@@ -126,7 +129,7 @@
 	})
 	if e.Err != nil || config.Digest(e.Text) != e.Entry.Digest {
 		for _, c := range needs {
-			s.postpone(c, e.Peer, now)
+			s.retryLater(c, e.Peer, now)
 		}
 		return
 	}
@@ -140,14 +143,15 @@
 			continue
 		}
 		t.docs[e.Entry] = doc
-		s.gather(c, now, out)
+		s.fetchDocuments(c, now, out)
 	}
 }
 
-// postpone follows a document that is missing, doesn't match or can't be
-// fetched, as when a change is half published or a peer has vanished: that
-// peer isn't asked again, another source is, after a growing pause.
-func (s *State) postpone(c *candidate, peer string, now time.Duration) {
+// retryLater handles a document that is missing, doesn't match its digest or can't be
+// fetched, as when a change is partially published or a peer is unreachable. The peer
+// is removed from the holders. After a failure of the platform, fetching pauses with
+// backoff.
+func (s *State) retryLater(c *candidate, peer string, now time.Duration) {
 	c.holders = slices.DeleteFunc(c.holders, func(h string) bool { return h == peer })
 	if peer != "" {
 		return
@@ -156,14 +160,14 @@
 	c.retryAt = now + s.jitter(backoff(c.failures, maxDocumentPause))
 }
 
-// backoff gives the pause after a number of failures in a row, before jitter.
+// backoff returns the pause after a number of consecutive failures, before jitter.
 func backoff(failures int, limit time.Duration) time.Duration {
 	const doublings = 10
 	return min(limit, retryPause<<min(max(failures-1, 0), doublings))
 }
 
-// jitter adds a random part of as much again, so that nodes which failed
-// together don't come back together.
+// jitter returns d plus a random duration below d, so that nodes that failed at the
+// same time don't retry at the same time.
 func (s *State) jitter(d time.Duration) time.Duration {
 	return d + time.Duration(s.rnd.Int64N(int64(d)))
 }
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -10,91 +10,93 @@
 )
 
 const (
-	// gossipEvery is the pause between two exchanges that a node starts. With
-	// newsPerGossip it bounds the control bytes, whatever the fleet's size.
-	gossipEvery = time.Second
-	// joiningEvery is the same for a node that doesn't serve yet.
-	joiningEvery = 100 * time.Millisecond
-	// urgentEvery is the same for urgentRounds after news that change who is chosen.
-	urgentEvery  = 200 * time.Millisecond
-	urgentRounds = 4
-	// newsPerGossip bounds the members in one message, the sender among them.
-	newsPerGossip = 8
-	// urgentPerGossip is the same while there are news ahead of their turn: a
-	// restarted zone is 81 changes at once, and its nodes should be known within
-	// half a minute. Longer messages cost more for that time only.
-	urgentPerGossip = 18
-	// pushTo is how many peers are told at once of a change that is in force here.
-	pushTo = 3
-	// exchangesAtOnce bounds the exchanges under way that this node started.
-	exchangesAtOnce = 8
+	// gossipInterval is the pause between two exchanges that a node starts. Together with
+	// membersPerGossip it limits the control traffic independently of the fleet's size.
+	gossipInterval = time.Second
+	// joiningInterval is the same for a node that doesn't serve yet.
+	joiningInterval = 100 * time.Millisecond
+	// urgentInterval is the same for urgentRounds exchanges after an update that changes
+	// which targets are chosen.
+	urgentInterval = 200 * time.Millisecond
+	urgentRounds   = 4
+	// membersPerGossip is the maximum number of members in one message, including the
+	// sender.
+	membersPerGossip = 8
+	// urgentMembersPerGossip is the same while there are urgent updates. A restarted zone
+	// causes 81 changes at once, and its nodes should be known within half a minute.
+	// Messages are longer only during that time.
+	urgentMembersPerGossip = 18
+	// pushPeers is the number of peers notified immediately of a change in force here.
+	pushPeers = 3
+	// maxExchanges is the maximum number of concurrent exchanges started by this node.
+	maxExchanges = 8
 )
 
-// gossipRound paces the exchanges that this node starts.
+// gossipRound schedules the exchanges that this node starts.
 type gossipRound struct {
 	nextAt time.Duration
 	beat   uint64
-	// turn is the place in the members' names up to which news were sent.
-	turn int
-	// urgent is how many exchanges are still due at the shorter pause.
-	urgent   int
-	underWay int
-	// again is a peer that failed and is asked once more before others.
-	again string
-	// heard is when a peer was last heard.
-	heard time.Duration
+	// nextName is the index of the last member name sent in turn.
+	nextName int
+	// urgentRemaining is the number of exchanges left at urgentInterval.
+	urgentRemaining int
+	inFlight        int
+	// retryPeer is a peer whose exchange failed and that is contacted again first.
+	retryPeer string
+	// lastReceived is when a message from a peer was last received.
+	lastReceived time.Duration
 }
 
-// GossipHeard is news that a peer sent, in a message or an answer.
-type GossipHeard struct {
-	News *wire.Gossip
+// GossipReceived is a gossip message or reply from a peer.
+type GossipReceived struct {
+	Message *wire.Gossip
 	// Addr is the peer's control address if this node dialled it.
 	Addr string
-	// Prompt says that the answer came within moments of the question, so that
-	// what it says of ages is true now.
+	// Prompt is true if the reply arrived shortly after the request, so that the ages in
+	// it are still accurate.
 	Prompt bool
 }
 
-func (e GossipHeard) apply(s *State, now time.Duration, out *commands) {
-	from, addr := e.News.From, e.Addr
+func (e GossipReceived) apply(s *State, now time.Duration, out *commands) {
+	from, addr := e.Message.From, e.Addr
 	if addr != "" {
-		s.round.underWay--
-		s.config.heardFrom[from] = e.News.Serving
+		s.round.inFlight--
+		s.config.answered[from] = e.Message.Serving
 	} else {
 		addr = s.controlAddr(from)
 	}
-	s.round.heard = now
-	for _, one := range e.News.Suspects {
-		s.suspects.Merge(one, now)
+	s.round.lastReceived = now
+	for _, suspect := range e.Message.Suspects {
+		s.suspects.Merge(suspect, now)
 	}
-	for _, m := range e.News.Members {
+	for _, m := range e.Message.Members {
 		if m.VM == s.self.VM {
-			s.hearSelf(m, e.News.VMs, now, out)
+			s.mergeSelf(m, e.Message.VMs, now, out)
 			continue
 		}
-		s.hear(m, now)
+		s.mergeMember(m, now)
 	}
 	if m := s.members.rows[from]; m != nil {
-		m.heard = now
+		m.lastSeen = now
 		if e.Addr != "" {
-			m.failures, m.vouched = 0, false
+			m.failures, m.seenByOthers = 0, false
 		}
 	}
-	s.heardVersion(config.Version{Revision: e.News.Revision, Digest: e.News.Digest}, addr, now, out)
+	s.handleVersion(config.Version{Revision: e.Message.Revision, Digest: e.Message.Digest}, addr, now, out)
 	if e.Prompt {
-		s.vms.heardAge(e.News.VMs, e.News.VMsAge, now)
+		s.vms.confirmByPeer(e.Message.VMs, e.Message.VMsAge, now)
 	}
-	s.heardVMs(e.News.VMs, from, addr, now, out)
+	s.handleVMsVersion(e.Message.VMs, from, addr, now, out)
 }
 
-// GossipFailed says that a peer could not be reached for an exchange.
+// GossipFailed reports a failed exchange with a peer.
 type GossipFailed struct{ VM string }
 
 func (e GossipFailed) apply(s *State, _ time.Duration, _ *commands) {
-	s.round.underWay--
-	s.failed(e.VM)
+	s.round.inFlight--
+	s.exchangeFailed(e.VM)
 	if m := s.members.rows[e.VM]; m != nil && m.failures < suspectAfter {
-		s.round.again = e.VM
+		s.round.retryPeer = e.VM
 	}
 }
 
@@ -103,41 +105,42 @@
 	if now < s.round.nextAt {
 		return
 	}
-	every := gossipEvery
+	every := gossipInterval
 	switch {
 	case !s.joined:
-		every = joiningEvery
-	case s.round.urgent > 0:
-		s.round.urgent--
-		every = urgentEvery
+		every = joiningInterval
+	case s.round.urgentRemaining > 0:
+		s.round.urgentRemaining--
+		every = urgentInterval
 	}
-	// A random part keeps nodes that started together from going in step.
+	// The jitter keeps nodes that started together from synchronizing.
 	s.round.nextAt = now + every*3/4 + time.Duration(s.rnd.Int64N(int64(every)/2))
 	s.round.beat++
-	vm, addr := s.peer()
+	vm, addr := s.choosePeer()
 	s.send(vm, addr, out)
 }
 
-// hurry has the next exchanges follow sooner.
-func (s *State) hurry(now time.Duration) {
-	s.round.urgent = urgentRounds
-	s.round.nextAt = min(s.round.nextAt, now+urgentEvery)
+// scheduleUrgent shortens the pauses before the next exchanges.
+func (s *State) scheduleUrgent(now time.Duration) {
+	s.round.urgentRemaining = urgentRounds
+	s.round.nextAt = min(s.round.nextAt, now+urgentInterval)
 }
 
-// send starts an exchange, unless too many are under way.
+// send starts an exchange unless too many are in flight.
 func (s *State) send(vm, addr string, out *commands) {
-	if addr == "" || s.round.underWay >= exchangesAtOnce {
+	if addr == "" || s.round.inFlight >= maxExchanges {
 		return
 	}
-	s.round.underWay++
-	out.add(SendGossip{VM: vm, Addr: addr, News: s.news()})
+	s.round.inFlight++
+	out.add(SendGossip{VM: vm, Addr: addr, Message: s.gossipMessage()})
 }
 
-// peer chooses whom to ask: one that just failed, else a random peer, every
-// other time of the own zone. While the VM list is unknown, a seed.
-func (s *State) peer() (vm, addr string) {
-	if vm = s.round.again; vm != "" {
-		s.round.again = ""
+// choosePeer chooses the peer for the next exchange: a peer whose last exchange failed,
+// or else a random peer, every other time from the own zone. It uses a seed while the
+// VM list is unknown.
+func (s *State) choosePeer() (vm, addr string) {
+	if vm = s.round.retryPeer; vm != "" {
+		s.round.retryPeer = ""
 		if addr = s.controlAddr(vm); addr != "" {
 			return vm, addr
 		}
@@ -156,7 +159,7 @@
 	return "", s.self.Seeds[s.rnd.IntN(len(s.self.Seeds))]
 }
 
-// randomPeer chooses one of the names that isn't the own VM, or "".
+// randomPeer returns a random name other than the own VM's, or "" if there is none.
 func (s *State) randomPeer(names []string) string {
 	if len(names) == 0 {
 		return ""
@@ -171,23 +174,23 @@
 	return names[at]
 }
 
-// push tells a few random peers at once that something new is in force here.
-// Each that didn't know it does the same, so all hear of it within a few
-// exchanges rather than a few rounds.
+// push immediately sends an update to a few random peers. Each peer that didn't know it
+// does the same, so that it reaches all nodes within a few exchanges rather than a few
+// rounds.
 func (s *State) push(out *commands) { s.pushAmong(s.vms.names, out) }
 
-// pushZone does the same within the zone, for the VM list.
+// pushZone is like push within the own zone, for the VM list.
 func (s *State) pushZone(out *commands) { s.pushAmong(s.zonePeers(), out) }
 
 func (s *State) pushAmong(names []string, out *commands) {
-	for range pushTo {
+	for range pushPeers {
 		if vm := s.randomPeer(names); vm != "" {
 			s.send(vm, s.controlAddr(vm), out)
 		}
 	}
 }
 
-// knownPeers counts the listed VMs but the own one.
+// knownPeers returns the number of listed VMs other than the own one.
 func (s *State) knownPeers() int {
 	n := len(s.vms.names)
 	if _, listed := s.vms.rows[s.self.VM]; listed {
@@ -196,59 +199,60 @@
 	return n
 }
 
-// news is what this node tells in one exchange: itself, news that are to
-// spread, and the others in turn.
-func (s *State) news() *wire.Gossip {
+// gossipMessage builds the message for one exchange: the node's own update, the urgent
+// updates, and then the other members in turn.
+func (s *State) gossipMessage() *wire.Gossip {
 	v := s.config.version()
 	g := &wire.Gossip{From: s.self.VM, Revision: v.Revision, Digest: v.Digest, Serving: s.joined, VMs: s.vms.version, VMsAge: s.vms.age(s.now)}
-	g.Members = append(g.Members, s.selfNews())
+	g.Members = append(g.Members, s.selfUpdate())
 	g.Suspects = s.suspects.News(suspectsPerGossip, s.now)
 	names := s.members.names
-	for _, name := range s.spreading(urgentPerGossip - len(g.Members)) {
-		s.members.rows[name].spread--
-		g.Members = append(g.Members, s.reported(name))
+	for _, name := range s.urgentMembers(urgentMembersPerGossip - len(g.Members)) {
+		s.members.rows[name].urgentSends--
+		g.Members = append(g.Members, s.memberUpdate(name))
 	}
 	for range names {
-		if len(g.Members) >= newsPerGossip {
+		if len(g.Members) >= membersPerGossip {
 			break
 		}
-		s.round.turn = (s.round.turn + 1) % len(names)
-		name := names[s.round.turn]
+		s.round.nextName = (s.round.nextName + 1) % len(names)
+		name := names[s.round.nextName]
 		if !slices.ContainsFunc(g.Members, func(m wire.Member) bool { return m.VM == name }) {
-			g.Members = append(g.Members, s.reported(name))
+			g.Members = append(g.Members, s.memberUpdate(name))
 		}
 	}
 	return g
 }
 
-// spreading gives up to n members whose news go ahead of their turn, those that
-// were sent least first and in random order among equals. In the order of their names, the
-// first few would fill every message until they are spread, all nodes would send
-// the same ones, and a restarted zone's last would be known after minutes.
-func (s *State) spreading(n int) []string {
-	var hot []string
+// urgentMembers returns up to n members with urgent updates, those sent least often
+// first and in random order among equals. In name order, the first few would fill every
+// message until they are spread and all nodes would send the same ones, so that the
+// last nodes of a restarted zone would be known only after minutes.
+func (s *State) urgentMembers(n int) []string {
+	var urgent []string
 	for _, name := range s.members.names {
-		if s.members.rows[name].spread > 0 {
-			hot = append(hot, name)
+		if s.members.rows[name].urgentSends > 0 {
+			urgent = append(urgent, name)
 		}
 	}
-	s.rnd.Shuffle(len(hot), func(i, j int) { hot[i], hot[j] = hot[j], hot[i] })
-	slices.SortStableFunc(hot, func(a, b string) int {
-		return cmp.Compare(s.members.rows[b].spread, s.members.rows[a].spread)
+	s.rnd.Shuffle(len(urgent), func(i, j int) { urgent[i], urgent[j] = urgent[j], urgent[i] })
+	slices.SortStableFunc(urgent, func(a, b string) int {
+		return cmp.Compare(s.members.rows[b].urgentSends, s.members.rows[a].urgentSends)
 	})
-	return hot[:min(n, len(hot))]
+	return urgent[:min(n, len(urgent))]
 }
 
-// reported is the news of a member; one that the VM list shows leaving is told so.
-func (s *State) reported(vm string) wire.Member {
-	news := s.members.rows[vm].news
+// memberUpdate returns the update to send about a member, with state MemberListed if
+// the VM list shows it as leaving.
+func (s *State) memberUpdate(vm string) wire.Member {
+	update := s.members.rows[vm].update
 	if s.listedLeaving(vm) {
-		news.State = wire.MemberListed
+		update.State = wire.MemberListed
 	}
-	return news
+	return update
 }
 
-func (s *State) selfNews() wire.Member {
+func (s *State) selfUpdate() wire.Member {
 	state := wire.MemberAlive
 	if s.backend.leaving() {
 		state = wire.MemberLeaving
@@ -259,5 +263,5 @@
 	}
 }
 
-// News gives what to answer to a peer's gossip.
-func (s *State) News() *wire.Gossip { return s.news() }
+// GossipMessage returns the reply to a peer's gossip.
+func (s *State) GossipMessage() *wire.Gossip { return s.gossipMessage() }
--- a/internal/core/join.go
+++ b/internal/core/join.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// joinPatience is how long a new node waits for enough peers that serve, once
-	// one of them, or any of another zone, has answered.
-	joinPatience = 2 * time.Second
-	// lonelyPatience is how long it waits when none does.
-	lonelyPatience = 10 * time.Second
-	// joinPeers is how many peers a new node wants to hear before it serves.
+	// joinTimeout is how long a new node waits for enough serving peers if at least one
+	// serving peer, or any peer of another zone, has answered.
+	joinTimeout = 2 * time.Second
+	// isolatedJoinTimeout is how long it waits if there is no such answer.
+	isolatedJoinTimeout = 10 * time.Second
+	// joinPeers is how many serving peers must answer before a new node serves.
 	joinPeers = 3
 )
 
-// join decides when a node that has just started may serve. It has no memory
-// and the platform may be stale: an older configuration would be in force here.
-// So it hears the platform and several peers first, and whatever a peer has in
-// force must be in force here before anything is served.
-func (s *State) join(now time.Duration, out *commands) {
+// startServing lets a new node serve once that is safe. The node has no earlier state
+// and the platform may be stale, so it could put an older configuration in force. It
+// therefore first contacts the platform and several peers, and doesn't serve until it
+// has the newest configuration that a peer has in force.
+func (s *State) startServing(now time.Duration, out *commands) {
 	t := &s.config
-	if s.joined || t.active == nil || !t.reads.done || t.heldElsewhere() || !s.heardEnough(now) {
+	if s.joined || t.active == nil || !t.reads.done || t.peerHasNewer() || !s.enoughAnswers(now) {
 		return
 	}
 	s.joined, s.dirty = true, true
 	t.since = now
-	out.log("serving", "revision", t.version().Revision, "digest", t.version().Digest, "peers", len(t.heardFrom))
+	out.log("serving", "revision", t.version().Revision, "digest", t.version().Digest, "peers", len(t.answered))
 }
 
-// inForce is the version that requests are handled by; zero before the node
-// serves, because what is held until then may be older than what the node had
-// in force before its restart.
+// inForce returns the version under which requests are handled. It is zero before the
+// node serves, because the active configuration may until then be older than the one in
+// force before a restart.
 func (s *State) inForce() config.Version {
 	if !s.joined {
 		return config.Version{}
@@ -40,20 +40,20 @@
 	return s.config.version()
 }
 
-// heldElsewhere says that a peer has a newer version in force that isn't here
-// yet. What was only seen on the platform doesn't count: it may be
-// half-published and never become whole.
-func (t *configTable) heldElsewhere() bool {
-	return t.wants(t.held)
+// peerHasNewer reports whether a peer has a newer version in force than this node.
+// Versions seen only on the platform don't count, because they may be partially
+// published and never become complete.
+func (t *configTable) peerHasNewer() bool {
+	return t.needs(t.newestHeld)
 }
 
-// heardEnough says whether enough peers were heard. Those that serve count;
-// others have started just now as well, and may know no more than a stale
-// platform told them. They shorten the wait only when a whole fleet starts, which
-// shows in answers from other zones.
-func (s *State) heardEnough(now time.Duration) bool {
+// enoughAnswers reports whether enough peers have answered. Only serving peers count;
+// the others have just started too and may only know the state of a stale platform.
+// They shorten the wait only if the whole fleet is starting, which is assumed if peers
+// of other zones answer.
+func (s *State) enoughAnswers(now time.Duration) bool {
 	serving, outside := 0, s.knownPeers() == len(s.zonePeers())
-	for vm, serves := range s.config.heardFrom {
+	for vm, serves := range s.config.answered {
 		if serves {
 			serving++
 		}
@@ -62,8 +62,8 @@
 	switch {
 	case serving >= min(joinPeers, s.knownPeers()) && s.vms.known:
 		return true
-	case serving > 0 || outside && len(s.config.heardFrom) > 0:
-		return now >= joinPatience
+	case serving > 0 || outside && len(s.config.answered) > 0:
+		return now >= joinTimeout
 	}
-	return now >= lonelyPatience
+	return now >= isolatedJoinTimeout
 }
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -10,16 +10,16 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-// keepers is how many peers a stopping node may choose its keeper from, and its
-// successor asks: the same ones, as both work them out from what is declared.
-const keepers = 4
+// maxKeepers is the number of peers that may store a stopping node's key table. The
+// stopping node and its successor derive the same peers from the configuration.
+const maxKeepers = 4
 
-// Peer is a node that may be asked.
+// Peer is a peer node and its control address.
 type Peer struct{ VM, Addr string }
 
-// Keepers gives the peers that may keep this VM's key table, best first: of the
-// own region but another availability zone, as zones are often restarted as a
-// whole, then of the own zone, then of others.
+// Keepers returns the peers that may store this VM's key table, best first: peers in
+// other availability zones of the own region, because zones are often restarted as a
+// whole, then peers of the own zone, then peers of other regions.
 func (s *State) Keepers() []Peer {
 	active := s.config.active
 	if active == nil || !s.joined {
@@ -38,7 +38,7 @@
 			cmp.Compare(a, b))
 	})
 	var out []Peer
-	for _, name := range all[:min(keepers, len(all))] {
+	for _, name := range all[:min(maxKeepers, len(all))] {
 		out = append(out, Peer{VM: name, Addr: s.controlAddr(name)})
 	}
 	return out
@@ -55,45 +55,46 @@
 	return 0
 }
 
-// StayingKeepers leaves out those that are leaving too or can't be reached.
-func (s *State) StayingKeepers() []Peer {
+// AvailableKeepers returns the Keepers that are neither leaving nor suspected.
+func (s *State) AvailableKeepers() []Peer {
 	return slices.DeleteFunc(s.Keepers(), func(p Peer) bool {
 		m := s.members.rows[p.VM]
-		return s.vms.rows[p.VM].State == platform.VMLeaving || s.suspected(p.VM) || m != nil && leaves(m.news.State)
+		return s.vms.rows[p.VM].State == platform.VMLeaving || s.suspected(p.VM) || m != nil && isLeaving(m.update.State)
 	})
 }
 
-// OfferKeys answers a peer that stops and looks for a keeper.
+// OfferKeys returns the reply to a stopping peer that is looking for a keeper.
 func (s *State) OfferKeys(from string, m *wire.KeysOffer, now handover.Moment) *wire.KeysGrant {
 	if from != m.VM || !s.joined || s.leaving {
 		return &wire.KeysGrant{}
 	}
-	return s.keeper.Offer(m, s.newest(m.VM), now)
+	return s.keeper.Offer(m, s.newestIncarnation(m.VM), now)
 }
 
-// PutKeys takes a part of a stopping peer's table.
-func (s *State) PutKeys(from string, m *wire.KeysPart, now handover.Moment) *wire.KeysKept {
+// StoreKeys stores a part of a stopping peer's key table.
+func (s *State) StoreKeys(from string, m *wire.KeysPart, now handover.Moment) *wire.KeysKept {
 	return s.keeper.Put(from, m, now)
 }
 
-// GiveKeys answers a peer that asks for its predecessor's table.
-func (s *State) GiveKeys(from string, m *wire.KeysAsk, now handover.Moment) *wire.KeysPart {
+// ServeKeys returns a part of the predecessor's key table to a peer.
+func (s *State) ServeKeys(from string, m *wire.KeysAsk, now handover.Moment) *wire.KeysPart {
 	if from != m.VM {
 		return &wire.KeysPart{}
 	}
-	return s.keeper.Give(m, s.newest(m.VM), now)
+	return s.keeper.Give(m, s.newestIncarnation(m.VM), now)
 }
 
-// newest is the newest incarnation of a VM that was heard of, 0 if none was.
-func (s *State) newest(vm string) uint64 {
+// newestIncarnation returns the newest known incarnation of a VM, or 0 if none is
+// known.
+func (s *State) newestIncarnation(vm string) uint64 {
 	if m := s.members.rows[vm]; m != nil {
-		return m.news.Incarnation
+		return m.update.Incarnation
 	}
 	return 0
 }
 
-// VM is the name of this node's VM.
+// VM returns the name of this node's VM.
 func (s *State) VM() string { return s.self.VM }
 
-// Incarnation is this process's own.
+// Incarnation returns the incarnation of this process.
 func (s *State) Incarnation() uint64 { return s.self.Incarnation }
--- a/internal/core/member.go
+++ b/internal/core/member.go
@@ -12,33 +12,35 @@
 	"github.com/limpetdock/limpetdock/internal/wire"
 )
 
-var errOtherFleet = eris.New("the index is of another fleet")
+var errOtherFleet = eris.New("index belongs to another fleet")
 
 const (
-	// suspectAfter failed exchanges in a row a node suspects a peer.
+	// suspectAfter is the number of consecutive failed exchanges after which a peer is
+	// suspected.
 	suspectAfter = 3
-	// forgetAfter drops members that are neither listed nor heard of.
-	forgetAfter = 10 * time.Minute
-	// sweepEvery is the pause between two looks for such members.
-	sweepEvery = time.Second
-	// clashPause bounds how often a node goes above another of its name.
+	// memberTTL is how long a member that isn't listed is kept after its last update.
+	memberTTL = 10 * time.Minute
+	// sweepInterval is the pause between two removals of such members.
+	sweepInterval = time.Second
+	// clashPause is the minimum time between two increases of a node's order above that
+	// of another process with its name.
 	clashPause = 10 * time.Second
 )
 
-// member is what peers say of a node, and what this node saw itself.
+// member is the state of a node, from peers' updates and this node's own exchanges.
 type member struct {
-	news     wire.Member
-	heard    time.Duration
+	update   wire.Member
+	lastSeen time.Duration
 	failures int
-	// vouched says that others heard the node after this one failed to reach it,
-	// as with a link cut in one direction: it isn't suspected again from here
-	// until this node has reached it.
-	vouched bool
-	// spread is how often the news is still sent ahead of its turn.
-	spread int
+	// seenByOthers is true if other nodes received updates from the node after this one
+	// failed to reach it, as with a link that fails in one direction. This node doesn't
+	// suspect it again until it has reached it.
+	seenByOthers bool
+	// urgentSends is how many more times the update is sent as urgent.
+	urgentSends int
 }
 
-// memberTable holds the nodes heard of.
+// memberTable holds the known nodes.
 type memberTable struct {
 	rows    map[string]*member
 	names   []string
@@ -46,42 +48,42 @@
 	clashAt time.Duration
 }
 
-// hear merges news of one node: a higher order wins, then a higher beat, then
-// the graver state.
-func (s *State) hear(news wire.Member, now time.Duration) {
-	m := s.members.rows[news.VM]
+// mergeMember merges an update about one node. A higher order wins, then a higher beat,
+// then a later MemberState.
+func (s *State) mergeMember(update wire.Member, now time.Duration) {
+	m := s.members.rows[update.VM]
 	first := m == nil
 	if first {
-		if !s.expected(news.VM) {
+		if !s.expected(update.VM) {
 			return
 		}
 		m = &member{}
-		s.members.rows[news.VM] = m
-		s.members.names = append(s.members.names, news.VM)
-	} else if !newer(news, m.news) {
+		s.members.rows[update.VM] = m
+		s.members.names = append(s.members.names, update.VM)
+	} else if !newer(update, m.update) {
 		return
 	}
-	old := m.news
-	m.news, m.heard = news, now
-	s.stat(news.VM).Learn(pick.Identity{Incarnation: news.Incarnation, Tick: news.Tick})
+	old := m.update
+	m.update, m.lastSeen = update, now
+	s.stat(update.VM).Learn(pick.Identity{Incarnation: update.Incarnation, Tick: update.Tick})
 	switch {
-	case old.Incarnation != news.Incarnation:
-		m.failures, m.vouched = 0, false
-	case news.State != wire.MemberSuspect && news.Beat > old.Beat && m.failures >= suspectAfter:
-		m.failures, m.vouched = 0, true
+	case old.Incarnation != update.Incarnation:
+		m.failures, m.seenByOthers = 0, false
+	case update.State != wire.MemberSuspect && update.Beat > old.Beat && m.failures >= suspectAfter:
+		m.failures, m.seenByOthers = 0, true
 	}
-	if old.State == news.State && (first || old.Incarnation == news.Incarnation) {
+	if old.State == update.State && (first || old.Incarnation == update.Incarnation) {
 		return
 	}
-	s.spread(news.VM)
-	if leaves(old.State) != leaves(news.State) {
+	s.spreadUpdate(update.VM)
+	if isLeaving(old.State) != isLeaving(update.State) {
 		s.dirty = true
-		s.hurry(now)
+		s.scheduleUrgent(now)
 	}
 }
 
-// leaves says whether a node in a state takes no new work.
-func leaves(state wire.MemberState) bool {
+// isLeaving reports whether a node in the given state accepts no new work.
+func isLeaving(state wire.MemberState) bool {
 	return state == wire.MemberLeaving || state == wire.MemberListed
 }
 
@@ -95,27 +97,28 @@
 	return a.State > b.State
 }
 
-// hearSelf takes what others say of this VM. News of it under a higher order
-// come from a predecessor whose clock was ahead, or from a zombie VM beside its
-// replacement. Peers would go on believing them, so the node goes above them,
-// rarely enough that two living processes of one name don't race. list is the
-// version of the sender's VM list.
-func (s *State) hearSelf(news wire.Member, list uint64, now time.Duration, out *commands) {
-	if news.State == wire.MemberListed && list > s.vms.version {
-		s.backend.toldUntil = now + toldFor
-		s.backend.toldOf = max(s.backend.toldOf, list)
+// mergeSelf processes an update about this VM. An update with a higher order comes from
+// a predecessor whose clock was ahead, or from an old VM that resumed after its
+// replacement started. Peers would keep preferring that update, so the node raises its
+// own order above it, at most once per clashPause so that two running processes with
+// one name don't race. list is the version of the sender's VM list.
+func (s *State) mergeSelf(update wire.Member, list uint64, now time.Duration, out *commands) {
+	if update.State == wire.MemberListed && list > s.vms.version {
+		s.backend.reportedUntil = now + leavingReportTTL
+		s.backend.reportedVersion = max(s.backend.reportedVersion, list)
 	}
-	if news.Incarnation == s.self.Incarnation || news.Order < s.order || now < s.members.clashAt {
+	if update.Incarnation == s.self.Incarnation || update.Order < s.order || now < s.members.clashAt {
 		return
 	}
 	s.members.clashAt = now + clashPause
-	s.order = news.Order + 1
+	s.order = update.Order + 1
 	s.counters.NameClashes++
-	out.log("another process under this VM's name", "incarnation", news.Incarnation, "own", s.self.Incarnation)
+	out.log("another process under this VM's name", "incarnation", update.Incarnation, "own", s.self.Incarnation)
 }
 
-// expected says whether a VM is listed or declared. Others aren't remembered,
-// so that wrong news can't fill the table. Before anything is known, all are.
+// expected reports whether a VM is listed or declared. Other VMs aren't stored, so that
+// wrong updates can't fill the table. Before any configuration is known, every VM is
+// expected.
 func (s *State) expected(vm string) bool {
 	if _, listed := s.vms.rows[vm]; listed || s.config.active == nil {
 		return true
@@ -123,13 +126,13 @@
 	return s.zoneOf(vm) != ""
 }
 
-// spread has news of a VM sent ahead of their turn, often enough to reach
-// every node with high probability: a few times the logarithm of the fleet's size
+// spreadUpdate marks the update about a VM as urgent, for enough sends to reach every
+// node with high probability: a small multiple of the logarithm of the fleet's size
 // (Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", 1987).
-func (s *State) spread(vm string) {
+func (s *State) spreadUpdate(vm string) {
 	const times = 2
 	if m := s.members.rows[vm]; m != nil {
-		m.spread = times * bits.Len(uint(len(s.vms.names)))
+		m.urgentSends = times * bits.Len(uint(len(s.vms.names)))
 	}
 }
 
@@ -142,37 +145,39 @@
 	return st
 }
 
-// failed counts an exchange that failed. After a few in a row the peer is
-// suspected and others are told; its next beat, heard by any way, refutes it.
-func (s *State) failed(vm string) {
+// exchangeFailed counts a failed exchange. After suspectAfter consecutive failures the
+// peer is suspected and other nodes are notified. The peer's next beat, received from
+// any node, refutes the suspicion.
+func (s *State) exchangeFailed(vm string) {
 	m := s.members.rows[vm]
-	if m == nil || m.vouched {
+	if m == nil || m.seenByOthers {
 		return
 	}
 	m.failures++
-	if m.failures != suspectAfter || m.news.State != wire.MemberAlive {
+	if m.failures != suspectAfter || m.update.State != wire.MemberAlive {
 		return
 	}
 	s.counters.Suspicions++
-	m.news.State = wire.MemberSuspect
-	s.spread(vm)
+	m.update.State = wire.MemberSuspect
+	s.spreadUpdate(vm)
 }
 
 func (s *State) suspected(vm string) bool {
 	m := s.members.rows[vm]
-	return m != nil && (m.failures >= suspectAfter || m.news.State == wire.MemberSuspect)
+	return m != nil && (m.failures >= suspectAfter || m.update.State == wire.MemberSuspect)
 }
 
-// runMembers drops what is neither listed nor heard of.
+// runMembers removes members that aren't listed and whose last update is older than
+// memberTTL.
 func (s *State) runMembers(now time.Duration) {
 	t := &s.members
 	if now < t.sweepAt {
 		return
 	}
-	t.sweepAt = now + sweepEvery
+	t.sweepAt = now + sweepInterval
 	t.names = slices.DeleteFunc(t.names, func(name string) bool {
 		_, listed := s.vms.rows[name]
-		gone := !listed && now-t.rows[name].heard > forgetAfter
+		gone := !listed && now-t.rows[name].lastSeen > memberTTL
 		if gone {
 			delete(t.rows, name)
 		}
@@ -184,8 +189,8 @@
 	return xxhash.Sum64String(key + "\x00" + name)
 }
 
-// Welcome says whether a node that dialled may send control messages: it must
-// be of this fleet and, once anything is known of its VMs, declared or listed.
+// Welcome reports whether a dialing node may send control messages. It must belong to
+// this fleet and, once a configuration is known, be declared or listed.
 func (s *State) Welcome(h *wire.Hello) bool {
 	return h.Fleet == s.self.Fleet && s.expected(h.VM)
 }
--- a/internal/core/read.go
+++ b/internal/core/read.go
@@ -8,42 +8,44 @@
 )
 
 const (
-	// watchersPerZone nodes of each zone watch the platform; the rest hear from peers.
+	// watchersPerZone is the number of nodes per zone that watch the platform. The others
+	// receive updates from peers.
 	watchersPerZone = 2
-	// watchPause is the least time between two watches of one key. A service
-	// whose replicas disagree answers each watch at once; this bounds the calls.
+	// watchPause is the minimum time between two watches of one key. It limits the calls
+	// if the platform's replicas disagree, because each watch then returns at once.
 	watchPause = 250 * time.Millisecond
-	// lonelyReadEvery is how long a node that isn't a watcher, and hears no peer,
-	// goes between reads of the platform, before jitter.
-	lonelyReadEvery = 30 * time.Second
-	// readEvery is the same for a node that hears peers. It mends what wrong views
-	// of who watches may leave.
-	readEvery = 10 * time.Minute
-	// retryPause follows the first failed read, before jitter.
+	// isolatedReadInterval is the time between reads of the platform, before jitter, on a
+	// node that isn't a watcher and receives nothing from peers.
+	isolatedReadInterval = 30 * time.Second
+	// readInterval is the same for a node that receives messages from peers. These reads
+	// correct stale state left by differing views of which nodes watch.
+	readInterval = 10 * time.Minute
+	// retryPause is the pause after the first failed read, before jitter.
 	retryPause = 500 * time.Millisecond
-	// maxRetryPause bounds the growing pause after failed reads, before jitter.
+	// maxRetryPause is the upper limit of the backoff after failed reads, before jitter.
 	maxRetryPause = 8 * time.Second
-	// peerIndexPause is how long one peer has to give an index before another is asked.
-	peerIndexPause = 3 * time.Second
-	// askAgainPause is the least time between two fetches of one index, or from
-	// one peer: a burst of requests that show the same news asks once.
-	askAgainPause = 200 * time.Millisecond
-	// indexesAtOnce bounds the indexes being fetched from peers.
-	indexesAtOnce = 4
+	// peerIndexTimeout is how long a peer has to return an index before another is asked.
+	peerIndexTimeout = 3 * time.Second
+	// refetchPause is the minimum time between two fetches of one index, or from one
+	// peer, so that a burst of requests that reveal the same change causes one fetch.
+	refetchPause = 200 * time.Millisecond
+	// maxIndexFetches is the maximum number of concurrent index fetches from peers.
+	maxIndexFetches = 4
 )
 
-// platformReads paces the node's own reads of one key of the platform.
+// platformReads schedules the node's own reads of one key of the platform.
 type platformReads struct {
-	// done says that the platform has answered, well or not, since the start.
+	// done is true once a read of the platform has ended, with or without an error.
 	done     bool
 	busy     bool
 	failures int
-	// last and heard are when a read last ended, and when it last ended well.
-	last, heard time.Duration
-	pause       time.Duration
-	// spread is this node's random share of the time between rare reads, 0 to 1.
-	spread float64
-	// version is the platform's own version of the key, which orders watches.
+	// lastEnd is when a read last ended, lastSuccess when one last succeeded.
+	lastEnd, lastSuccess time.Duration
+	pause                time.Duration
+	// randomShare is the random fraction, 0 to 1, of the read interval that is added to
+	// it as jitter.
+	randomShare float64
+	// version is the platform's version of the key, which the next watch passes on.
 	version uint64
 }
 
@@ -53,37 +55,37 @@
 	Text    []byte
 	Version uint64
 	Peer    string
-	// Want is the digest that a peer was asked for; empty is whatever it holds.
+	// Want is the digest requested from a peer; empty requests the index in force there.
 	Want string
 	Err  error
 }
 
 func (e IndexRead) apply(s *State, now time.Duration, out *commands) {
 	if e.Peer != "" {
-		s.config.asking--
-		s.config.asked[askKey(e.Want, e.Peer)] = now + askAgainPause
+		s.config.indexFetches--
+		s.config.askedUntil[fetchKey(e.Want, e.Peer)] = now + refetchPause
 	} else {
-		s.config.reads.ended(s, now, e.Version, e.Err)
+		s.config.reads.finish(s, now, e.Version, e.Err)
 	}
 	if e.Err != nil || e.Want != "" && config.Digest(e.Text) != e.Want {
 		return
 	}
-	s.offer(e.Text, e.Peer, now, out)
+	s.handleIndex(e.Text, e.Peer, now, out)
 }
 
-func (r *platformReads) ended(s *State, now time.Duration, version uint64, err error) {
-	r.done, r.busy, r.last = true, false, now
+func (r *platformReads) finish(s *State, now time.Duration, version uint64, err error) {
+	r.done, r.busy, r.lastEnd = true, false, now
 	if err != nil {
 		r.failures++
 		r.pause = s.jitter(backoff(r.failures, maxRetryPause))
 		return
 	}
-	r.failures, r.heard, r.version = 0, now, version
+	r.failures, r.lastSuccess, r.version = 0, now, version
 	r.pause = s.jitter(watchPause)
-	r.spread = s.rnd.Float64()
+	r.randomShare = s.rnd.Float64()
 }
 
-// runConfig reads the index when it is due, and goes on gathering.
+// runConfig reads the index when it is due and continues to fetch documents.
 func (s *State) runConfig(now time.Duration, out *commands) {
 	t := &s.config
 	if !t.reads.busy && s.due(&t.reads, now) {
@@ -91,89 +93,91 @@
 		out.add(ReadIndex{Watch: t.reads.version != 0 && s.watches(), After: t.reads.version})
 	}
 	for _, c := range append([]*candidate(nil), t.candidates...) {
-		s.gather(c, now, out)
+		s.fetchDocuments(c, now, out)
 	}
-	s.join(now, out)
+	s.startServing(now, out)
 }
 
-// due says whether a key is read now: by watchers at once, by the others when
-// they have heard nothing for long.
+// due reports whether a key should be read now. Watchers read again at once, the others
+// only after a long interval.
 func (s *State) due(r *platformReads, now time.Duration) bool {
 	if !r.done {
 		return true
 	}
-	if now < r.last+r.pause {
+	if now < r.lastEnd+r.pause {
 		return false
 	}
 	if r.failures > 0 || s.watches() {
 		return true
 	}
-	every := readEvery
-	if now-s.round.heard > lonelyReadEvery {
-		every = lonelyReadEvery
+	interval := readInterval
+	if now-s.round.lastReceived > isolatedReadInterval {
+		interval = isolatedReadInterval
 	}
-	return now > r.heard+every+time.Duration(r.spread*float64(every))
+	return now > r.lastSuccess+interval+time.Duration(r.randomShare*float64(interval))
 }
 
-// heardVersion takes what a peer says is in force there. It fetches the index
-// if it is newer, or remembers the peer as a source of its documents.
-func (s *State) heardVersion(v config.Version, addr string, now time.Duration, out *commands) {
+// handleVersion processes the version that a peer reports to be in force there. If it
+// is newer, handleVersion fetches the index, or adds the peer as a holder of the
+// candidate.
+func (s *State) handleVersion(v config.Version, addr string, now time.Duration, out *commands) {
 	t := &s.config
-	if addr == "" || !t.wants(v) {
+	if addr == "" || !t.needs(v) {
 		return
 	}
-	if v.Newer(t.held) {
-		t.held = v
+	if v.Newer(t.newestHeld) {
+		t.newestHeld = v
 	}
 	if c := t.candidate(v); c != nil {
-		c.held(addr)
+		c.addHolder(addr)
 		return
 	}
-	s.askIndex(v.Digest, addr, now, out)
+	s.fetchIndex(v.Digest, addr, now, out)
 }
 
-// askIndex fetches an index from a peer, unless that is under way.
-func (s *State) askIndex(digest, addr string, now time.Duration, out *commands) {
+// fetchIndex fetches an index from a peer unless a fetch is in progress or was recent.
+func (s *State) fetchIndex(digest, addr string, now time.Duration, out *commands) {
 	t := &s.config
-	maps.DeleteFunc(t.asked, func(_ string, until time.Duration) bool { return now >= until })
-	key := askKey(digest, addr)
-	if _, asked := t.asked[key]; asked || t.asking >= indexesAtOnce {
+	maps.DeleteFunc(t.askedUntil, func(_ string, until time.Duration) bool { return now >= until })
+	key := fetchKey(digest, addr)
+	if _, pending := t.askedUntil[key]; pending || t.indexFetches >= maxIndexFetches {
 		return
 	}
-	t.asking++
-	t.asked[key] = now + peerIndexPause
+	t.indexFetches++
+	t.askedUntil[key] = now + peerIndexTimeout
 	out.add(FetchIndex{Digest: digest, Peer: addr})
 }
 
-func askKey(digest, addr string) string {
+func fetchKey(digest, addr string) string {
 	if digest == "" {
 		return addr
 	}
 	return digest
 }
 
-// Behind says that a peer works under another configuration than this node, and
-// that a request has shown it: the peer is asked for its index at once.
-type Behind struct{ VM string }
+// ConfigMismatch reports that a request revealed a peer with another configuration in
+// force. The peer's index is fetched at once.
+type ConfigMismatch struct{ VM string }
 
-func (e Behind) apply(s *State, now time.Duration, out *commands) {
+func (e ConfigMismatch) apply(s *State, now time.Duration, out *commands) {
 	s.counters.Behind++
 	addr := s.controlAddr(e.VM)
 	if addr == "" || e.VM == s.self.VM || len(s.config.candidates) > 0 {
 		return
 	}
-	s.askIndex("", addr, now, out)
+	s.fetchIndex("", addr, now, out)
 }
 
-// watches says whether this node watches the platform for its zone. Each node
-// decides from its own view: a wrong view costs reads, never safety.
+// watches reports whether this node watches the platform for its zone. Each node
+// decides from its own view. Differing views only change the number of reads; they
+// don't affect safety.
 func (s *State) watches() bool {
 	if s.config.active == nil || !s.vms.known {
 		return false
 	}
 	s.zonePeers()
 	first := 0
-	for _, name := range s.vms.before {
+	for _, name := range s.vms.zoneBefore {
 		if !s.suspected(name) {
 			first++
 		}
--- a/internal/core/size_bench_test.go
+++ b/internal/core/size_bench_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// fleetSizes are three sizes of a fleet, the one to design for last.
+// fleetSizes are three fleet sizes; the last is the target size.
 var fleetSizes = []struct {
 	name            string
 	zones, services int
 	targets         int
 }{{"66", 11, 11, 66}, {"220", 11, 15, 220}, {"885", 11, 59, 59 * 15}}
 
-// BenchmarkStateSize reports the memory that one node's tables and view take at
-// two sizes, the target size among them, the fake platform's documents included.
+// BenchmarkStateSize reports the memory used by one node's tables and view at each of
+// fleetSizes, including the fake platform's documents.
 func BenchmarkStateSize(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(size.name, func(b *testing.B) {
 			for b.Loop() {
 				before := heap()
-				w := newWorld(b, aFleet(1, size.zones, size.services, size.targets), 1)
+				w := newSimulation(b, newFleet(1, size.zones, size.services, size.targets), 1)
 				w.hosts = w.hosts[:1]
 				h := w.hosts[0]
 				w.until(20*time.Second, "started", func() bool { return h.view != nil })
@@ -38,12 +38,12 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkIdleFleet reports what a second with nothing going on costs each
-// node at three sizes: bytes of news, and time of its ticks.
+// BenchmarkIdleFleet reports the gossip bytes and the tick time per node and second of
+// an idle fleet at three sizes.
 func BenchmarkIdleFleet(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(size.name, func(b *testing.B) {
-			w := newWorld(b, aFleet(1, size.zones, size.services, size.targets), 1)
+			w := newSimulation(b, newFleet(1, size.zones, size.services, size.targets), 1)
 			w.until(20*time.Second, "started", w.inForce(1))
 			w.run(10 * time.Second)
 			before, busy := w.bytes, w.busy()
@@ -59,21 +59,21 @@
 	}
 }
 
-// BenchmarkChangeBySize reports how long a change takes until it is in force at
-// every node, in the time of the world, not the machine's.
+// BenchmarkChangeBySize reports the time until a change is in force on every node, in
+// simulated time, not real time.
 func BenchmarkChangeBySize(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(size.name, func(b *testing.B) {
 			for b.Loop() {
-				took := changeInForce(b, aFleet(1, size.zones, size.services, size.targets))
+				took := timeToApplyChange(b, newFleet(1, size.zones, size.services, size.targets))
 				b.ReportMetric(took.Seconds(), "s-in-force")
 			}
 		})
 	}
 }
 
-// busy is how long the ticks of all nodes took.
-func (w *world) busy() (sum time.Duration) {
+// busy returns the total real time of all nodes' ticks.
+func (w *simulation) busy() (sum time.Duration) {
 	for _, h := range w.hosts {
 		sum += h.busy
 	}
--- a/internal/core/subset.go
+++ b/internal/core/subset.go
@@ -5,43 +5,43 @@
 	"github.com/limpetdock/limpetdock/internal/pick"
 )
 
-// subsetTable holds which targets of each service this node's entry uses. They
-// follow from the configuration alone, and are drawn again only for services
-// whose document has changed, or when the VMs declared have.
+// subsetTable holds the targets of each service that this node's entry uses. They
+// depend only on the configuration, and are recomputed only for services whose document
+// has changed, or if the declared VMs have changed.
 type subsetTable struct {
 	entries *pick.Entries
-	as      *config.Config
+	config  *config.Config
 	rows    map[string]subset
 }
 
-// subset is the indexes of a service's targets that the entry uses.
+// subset holds the indexes of the service's targets that the entry uses.
 type subset struct {
-	of       *config.Service
+	service  *config.Service
 	entries  *pick.Entries
 	targets  []int
 	inRegion int
 }
 
-// update takes the entries of a configuration.
+// update updates the table for a configuration.
 func (t *subsetTable) update(c *config.Config) {
-	if t.as == c {
+	if t.config == c {
 		return
 	}
-	t.as = c
+	t.config = c
 	next := pick.NewEntries(placesOf(c))
 	if t.entries == nil || !next.Equal(t.entries) {
 		t.entries = next
 	}
 	rows := make(map[string]subset, len(c.Services))
 	for name, svc := range c.Services {
-		if row := t.rows[name]; row.of == svc && row.entries == t.entries {
+		if row := t.rows[name]; row.service == svc && row.entries == t.entries {
 			rows[name] = row
 		}
 	}
 	t.rows = rows
 }
 
-// placesOf gives the places of all declared VMs: each has an entry.
+// placesOf returns the places of all declared VMs, each of which has an entry.
 func placesOf(c *config.Config) (list []pick.Place) {
 	for _, svc := range c.Services {
 		for _, t := range svc.Targets {
@@ -51,11 +51,12 @@
 	return list
 }
 
-// of gives the subset of a service, whose targets are homes as declared.
+// of returns the subset of a service. homes are the service's targets in declared
+// order.
 func (t *subsetTable) of(here pick.Place, svc *config.Service, homes []*pick.Target) (targets []*pick.Target, inRegion int) {
 	row := t.rows[svc.Name]
-	if row.of != svc {
-		row = subset{of: svc, entries: t.entries}
+	if row.service != svc {
+		row = subset{service: svc, entries: t.entries}
 		row.targets, row.inRegion = t.entries.Subset(here, homes)
 		t.rows[svc.Name] = row
 	}
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -11,78 +11,79 @@
 	"github.com/limpetdock/limpetdock/internal/platform"
 )
 
-// BackendState is how the own backend server is, as far as it tells.
+// BackendState is the state of the own backend server.
 type BackendState uint8
 
-// The states of a backend server.
+// Backend server states.
 const (
 	BackendLive BackendState = iota
-	// BackendDraining takes no new work, by its own word.
+	// BackendDraining means that the backend server reports that it accepts no new work.
 	BackendDraining
-	// BackendStarting doesn't take work yet, by its own word.
+	// BackendStarting means that the backend server reports that it isn't ready yet.
 	BackendStarting
-	// BackendDown refuses connections.
+	// BackendDown means that the backend server refuses connections.
 	BackendDown
 )
 
 var backendStates = [...]string{"live", "draining", "starting", "down"}
 
-// String gives the state's name.
+// String returns the name of the state.
 func (b BackendState) String() string { return backendStates[b] }
 
-// backendTable is what the guard says of the own backend server and of itself.
+// backendTable is the state of the own backend server and of the node.
 type backendTable struct {
 	tick     uint64
 	state    BackendState
 	stopping bool
 	listed   bool
-	// toldUntil is until when a peer's word holds that the VM list shows this
-	// VM leaving; the own copy of the list may lag behind the peer's.
-	toldUntil time.Duration
-	// toldOf is the newest list that a peer's word was about.
-	toldOf uint64
-	told   bool
+	// reportedUntil is until when a peer's report that the VM list shows this VM as
+	// leaving is valid. The own copy of the list may be older than the peer's.
+	reportedUntil time.Duration
+	// reportedVersion is the newest list version that such a report was based on.
+	reportedVersion uint64
+	reported        bool
 }
 
 func (t *backendTable) leaving() bool {
-	return t.state != BackendLive || t.stopping || t.listed || t.told
+	return t.state != BackendLive || t.stopping || t.listed || t.reported
 }
 
-// BackendSeen is the guard's state as it stands at this tick.
-type BackendSeen struct {
+// BackendStatus is the status of the guard, the backend server and the node at this
+// tick.
+type BackendStatus struct {
 	// Tick is the guard's coarse tick.
 	Tick uint64
-	// State is that of the backend server, Stopping that of the node.
+	// State is the backend server's state. Stopping is true if the node is stopping.
 	State    BackendState
 	Stopping bool
 }
 
-func (e BackendSeen) apply(s *State, _ time.Duration, _ *commands) {
+func (e BackendStatus) apply(s *State, _ time.Duration, _ *commands) {
 	s.backend.tick, s.backend.state, s.backend.stopping = e.Tick, e.State, e.Stopping
 }
 
-// runBackend decides whether the own backend server takes new work, by whichever
-// sign comes first, and tells peers at once of a change.
+// runBackend determines whether the own backend server is leaving, from any of the
+// sources, and immediately notifies peers of a change.
 func (s *State) runBackend(now time.Duration, out *commands) {
 	t := &s.backend
 	was := s.leaving
 	t.listed = s.listedLeaving(s.self.VM)
-	t.told = now < t.toldUntil
+	t.reported = now < t.reportedUntil
 	s.leaving = t.leaving()
 	if s.leaving == was {
 		return
 	}
 	s.dirty = true
 	s.round.beat++
-	out.log("leaving changed", "leaving", s.leaving, "backend", t.state.String(), "stopping", t.stopping, "listed", t.listed || t.told)
-	s.hurry(now)
+	out.log("leaving changed", "leaving", s.leaving, "backend", t.state.String(), "stopping", t.stopping, "listed", t.listed || t.reported)
+	s.scheduleUrgent(now)
 	s.push(out)
 }
 
-// Leaving says whether the own backend server is leaving, for the guard.
+// Leaving reports whether the own backend server is leaving.
 func (s *State) Leaving() bool { return s.leaving }
 
-// runView builds a new View when something in it has changed.
+// runView publishes a new View if anything in it has changed.
 func (s *State) runView(out *commands) {
 	if !s.dirty || !s.joined {
 		return
@@ -115,7 +116,7 @@
 	return out
 }
 
-// serviceState is what traffic goroutines keep of a service from View to View.
+// serviceState returns the state of a service that is shared by successive Views.
 func (s *State) serviceState(name string) *pick.Shared {
 	state := s.shared[name]
 	if state == nil {
@@ -133,11 +134,11 @@
 	}
 	t.Distance = s.self.DistanceTo(t.Place)
 	if vm, ok := s.vms.rows[declared.VM]; ok {
-		t.Guard = join(vm.IP, active.Index.Fleet.Ports.Guard)
-		t.Control = join(vm.IP, active.Index.Fleet.Ports.Control)
+		t.Guard = hostPort(vm.IP, active.Index.Fleet.Ports.Guard)
+		t.Control = hostPort(vm.IP, active.Index.Fleet.Ports.Control)
 		t.Leaving = vm.State == platform.VMLeaving
 	}
-	if m := s.members.rows[declared.VM]; m != nil && leaves(m.news.State) {
+	if m := s.members.rows[declared.VM]; m != nil && isLeaving(m.update.State) {
 		t.Leaving = true
 	}
 	if declared.VM == s.self.VM {
@@ -146,10 +147,10 @@
 	return t
 }
 
-func join(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
+func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-// controlAddr gives a peer's control address. Before any configuration is
-// known, the default port is assumed.
+// controlAddr returns a peer's control address, or "" if the peer isn't listed. It uses
+// the default port until a configuration is known.
 func (s *State) controlAddr(vm string) string {
 	row, ok := s.vms.rows[vm]
 	if !ok {
@@ -159,7 +160,7 @@
 	if s.config.active != nil {
 		port = s.config.active.Index.Fleet.Ports.Control
 	}
-	return join(row.IP, port)
+	return hostPort(row.IP, port)
 }
 
 func (s *State) zoneOf(vm string) string {
--- a/internal/core/vms.go
+++ b/internal/core/vms.go
@@ -11,34 +11,36 @@
 )
 
 const (
-	// pullPausePerVM times the listed VMs is the least time between two lists
-	// fetched from peers: a list grows with the fleet, its bytes a second don't.
-	pullPausePerVM = 20 * time.Millisecond
-	// tellAtOnce bounds the VMs that one change of the list tells directly.
-	tellAtOnce = 4
-	// toldFor is how long a peer's word holds that the list shows this VM leaving.
-	toldFor = time.Minute
+	// fetchPausePerVM times the number of listed VMs is the minimum time between two
+	// fetches of the list from peers. The list grows with the fleet, but its traffic per
+	// second doesn't.
+	fetchPausePerVM = 20 * time.Millisecond
+	// maxDirectNotices is the maximum number of VMs notified directly of one list change.
+	maxDirectNotices = 4
+	// leavingReportTTL is how long a peer's report that the list shows this VM as leaving
+	// is valid.
+	leavingReportTTL = time.Minute
 )
 
-// vmTable is the platform's list of VMs as last read. It lags and may be wrong.
+// vmTable is the platform's VM list as last read. It may be stale or wrong.
 type vmTable struct {
 	rows map[string]platform.VM
-	// names are the keys of rows in order.
+	// names are the sorted keys of rows.
 	names []string
-	// zone are those of the own zone, as the configuration zoneAs declares them;
-	// before are those of them that watch the platform before this node does.
-	zone    []string
-	before  []string
-	zoneAs  *config.Config
-	version uint64
-	known   bool
-	reads   platformReads
-	pulling bool
-	pullAt  time.Duration
-	// shown is when the platform is known to have shown this version, to this
-	// node or to a peer that told it; it counts only if dated is set.
-	shown time.Duration
-	dated bool
+	// zone are the other names of the own zone according to the configuration zoneConfig.
+	// zoneBefore are those that rank before this node as watchers of the platform.
+	zone       []string
+	zoneBefore []string
+	zoneConfig *config.Config
+	version    uint64
+	known      bool
+	reads      platformReads
+	fetching   bool
+	nextFetch  time.Duration
+	// confirmedAt is when the platform last returned this version, to this node or to a
+	// peer that reported it. It is valid only if confirmed is set.
+	confirmedAt time.Duration
+	confirmed   bool
 }
 
 // VMsRead is the result of a WatchVMs or, with Peer set, of a FetchVMs.
@@ -51,19 +53,19 @@
 func (e VMsRead) apply(s *State, now time.Duration, out *commands) {
 	t := &s.vms
 	if e.Peer != "" {
-		t.pulling = false
-		t.pullAt = now + time.Duration(len(t.names)+1)*pullPausePerVM
+		t.fetching = false
+		t.nextFetch = now + time.Duration(len(t.names)+1)*fetchPausePerVM
 	} else {
-		t.reads.ended(s, now, e.List.Version, e.Err)
+		t.reads.finish(s, now, e.List.Version, e.Err)
 		if e.Err == nil {
-			defer t.date(now)
+			defer t.confirm(now)
 		}
 	}
 	if e.Err != nil || t.known && e.List.Version == t.version {
 		return
 	}
-	// A peer's list counts only if it is newer. The platform's own word always
-	// does: its versions start again when it is restored.
+	// A peer's list is used only if it is newer. The platform's list is always used,
+	// because its versions restart when the platform is restored.
 	if e.Peer != "" && t.known && e.List.Version < t.version {
 		return
 	}
@@ -73,26 +75,26 @@
 func (s *State) replaceVMs(list platform.VMList, out *commands) {
 	t := &s.vms
 	old := t.rows
-	t.known, t.version, t.dated = true, list.Version, false
+	t.known, t.version, t.confirmed = true, list.Version, false
 	t.rows = make(map[string]platform.VM, len(list.VMs))
 	for _, vm := range list.VMs {
 		t.rows[vm.Name] = vm
 	}
-	t.names, t.zoneAs = slices.Sorted(maps.Keys(t.rows)), nil
-	if list.Version >= s.backend.toldOf {
-		s.backend.toldUntil = 0
+	t.names, t.zoneConfig = slices.Sorted(maps.Keys(t.rows)), nil
+	if list.Version >= s.backend.reportedVersion {
+		s.backend.reportedUntil = 0
 	}
 	s.dirty = true
-	told := 0
+	notified := 0
 	for _, name := range t.names {
 		if t.rows[name].State != platform.VMLeaving || old[name].State == platform.VMLeaving {
 			continue
 		}
-		s.spread(name)
-		// The VM itself must hear of it first: its guard then refuses new work,
-		// whatever the others still believe.
-		if name != s.self.VM && told < tellAtOnce && s.watches() {
-			told++
+		s.spreadUpdate(name)
+		// Notify the VM itself first. Its guard then refuses new work even if other nodes
+		// don't know of the change yet.
+		if name != s.self.VM && notified < maxDirectNotices && s.watches() {
+			notified++
 			s.send(name, s.controlAddr(name), out)
 		}
 	}
@@ -114,25 +116,25 @@
 	out.add(WatchVMs{After: after})
 }
 
-// heardVMs fetches the VM list from a peer of the own zone that has a newer
-// one. Other zones may reach the VMs by other addresses.
-func (s *State) heardVMs(version uint64, vm, addr string, now time.Duration, out *commands) {
+// handleVMsVersion fetches the VM list from a peer of the own zone if it is newer.
+// Other zones may reach the VMs at other addresses.
+func (s *State) handleVMsVersion(version uint64, vm, addr string, now time.Duration, out *commands) {
 	t := &s.vms
-	if addr == "" || version <= t.version || t.pulling || now < t.pullAt || s.zoneOf(vm) != s.self.Zone {
+	if addr == "" || version <= t.version || t.fetching || now < t.nextFetch || s.zoneOf(vm) != s.self.Zone {
 		return
 	}
-	t.pulling = true
+	t.fetching = true
 	out.add(FetchVMs{Peer: addr})
 }
 
-// zonePeers are the listed VMs of the own zone but the own one, in order. They
-// are found again only when the list or the configuration has changed.
+// zonePeers returns the other listed VMs of the own zone, sorted. The result is cached
+// until the list or the configuration changes.
 func (s *State) zonePeers() []string {
 	t := &s.vms
-	if t.zoneAs != nil && t.zoneAs == s.config.active {
+	if t.zoneConfig != nil && t.zoneConfig == s.config.active {
 		return t.zone
 	}
-	t.zone, t.before = nil, nil
+	t.zone, t.zoneBefore = nil, nil
 	mine := rendezvous(s.self.Zone, s.self.VM)
 	for _, name := range t.names {
 		if name == s.self.VM || s.zoneOf(name) != s.self.Zone {
@@ -140,19 +142,19 @@
 		}
 		t.zone = append(t.zone, name)
 		if rendezvous(s.self.Zone, name) > mine {
-			t.before = append(t.before, name)
+			t.zoneBefore = append(t.zoneBefore, name)
 		}
 	}
-	t.zoneAs = s.config.active
+	t.zoneConfig = s.config.active
 	return t.zone
 }
 
-// listedLeaving says whether the VM list shows a VM as leaving.
+// listedLeaving reports whether the VM list shows a VM as leaving.
 func (s *State) listedLeaving(vm string) bool {
 	return s.vms.rows[vm].State == platform.VMLeaving
 }
 
-// VMs gives the VM list as this node has it, for peers of its zone.
+// VMs returns this node's VM list, for peers of its zone.
 func (s *State) VMs() platform.VMList {
 	list := platform.VMList{Version: s.vms.version}
 	for _, name := range s.vms.names {
@@ -161,35 +163,35 @@
 	return list
 }
 
-// date notes that the platform showed the list as it stands.
-func (t *vmTable) date(at time.Duration) {
-	t.shown = max(at, t.shown)
-	if !t.dated {
-		t.shown, t.dated = at, true
+// confirm records that the platform returned the current list at the given time.
+func (t *vmTable) confirm(at time.Duration) {
+	t.confirmedAt = max(at, t.confirmedAt)
+	if !t.confirmed {
+		t.confirmedAt, t.confirmed = at, true
 	}
 }
 
-// age gives how long ago the platform showed the list, in milliseconds, at
-// least 1; 0 is unknown.
+// age returns the time since the platform last returned this list, in milliseconds and
+// at least 1, or 0 if it is unknown.
 func (t *vmTable) age(now time.Duration) uint32 {
-	if !t.dated {
+	if !t.confirmed {
 		return 0
 	}
-	return uint32(min((now-t.shown).Milliseconds()+1, math.MaxUint32))
+	return uint32(min((now-t.confirmedAt).Milliseconds()+1, math.MaxUint32))
 }
 
-// heardAge takes a peer's word for when the platform showed the list that this
-// node has as well. So all homes of keys know themselves confirmed while only a
-// few nodes read the platform.
-func (t *vmTable) heardAge(version uint64, ms uint32, now time.Duration) {
+// confirmByPeer confirms the list by a peer's report of when the platform returned the
+// same version. This confirms the VMs of all key homes while only a few nodes read the
+// platform.
+func (t *vmTable) confirmByPeer(version uint64, ms uint32, now time.Duration) {
 	if ms > 0 && t.known && version == t.version {
-		t.date(now - time.Duration(ms)*time.Millisecond)
+		t.confirm(now - time.Duration(ms)*time.Millisecond)
 	}
 }
 
-// Listed gives the own VM's address in the list, and when the platform last
-// showed it there.
+// Listed returns the own VM's address in the list, and when the platform last returned
+// that list.
 func (s *State) Listed() (addr string, at time.Duration, ok bool) {
 	row, ok := s.vms.rows[s.self.VM]
-	return row.IP, s.vms.shown, ok && s.vms.dated
+	return row.IP, s.vms.confirmedAt, ok && s.vms.confirmed
 }
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -23,23 +23,23 @@
 
 const (
 	tick      = 50 * time.Millisecond
-	hop       = 10 * time.Millisecond
+	linkDelay = 10 * time.Millisecond
 	timeout   = time.Second
 	watchHold = 20 * time.Second
 )
 
 var errDown = errors.New("down")
 
-// value is one state of a platform key, and when it was published.
+// value is one version of a platform key and the time it was published.
 type value struct {
 	version uint64
 	text    []byte
 	at      time.Duration
 }
 
-// world joins the States of many nodes by links and a platform that a test can
-// break, in a time of its own.
-type world struct {
+// simulation connects the States of many nodes by simulated links and a simulated
+// platform, in which tests can cause faults. It runs in simulated time.
+type simulation struct {
 	t       testing.TB
 	now     time.Duration
 	rnd     *rand.Rand
@@ -49,40 +49,41 @@
 	version uint64
 	values  map[string][]value
 	vms     []platform.VMList
-	// cut says that nothing passes from one VM to another.
+	// cut reports whether messages from one VM to another are lost.
 	cut func(from, to *host) bool
-	// down and asOf are what is wrong with the platform for a zone: no answer,
-	// or the state of an earlier time.
+	// down and asOf are the platform's faults as seen from a zone: down reports whether
+	// it doesn't answer, and asOf is the time of the state that it returns.
 	down  func(zone string) bool
 	asOf  func(zone string) time.Duration
 	calls int
-	// second counts the platform calls of each second.
-	second map[time.Duration]int
-	bytes  int
+	// callsBySecond counts the platform calls of each second.
+	callsBySecond map[time.Duration]int
+	bytes         int
 }
 
-// host is one VM with its node.
+// host is one VM and its node.
 type host struct {
 	core.Self
-	state   *core.State
-	seed    uint64
-	born    time.Duration
-	dead    bool
-	frozen  bool
-	events  []core.Event
-	seen    core.BackendSeen
-	view    *pick.View
-	best    config.Version
-	sent    map[string]int
-	addr    string
-	logs    []string
-	waiting []func() bool
-	// bytes were sent by the host's node, and busy is how long its ticks took.
+	state         *core.State
+	seed          uint64
+	startedAt     time.Duration
+	dead          bool
+	frozen        bool
+	events        []core.Event
+	backendStatus core.BackendStatus
+	view          *pick.View
+	best          config.Version
+	sent          map[string]int
+	addr          string
+	logs          []string
+	waiting       []func() bool
+	// bytes is the number of bytes sent by the host's node, and busy the total time of
+	// its ticks.
 	bytes int
 	busy  time.Duration
 }
 
-// pending is an event on its way to a process of a host.
+// pending is an event that is due for a process of a host.
 type pending struct {
 	at    time.Duration
 	to    *host
@@ -90,13 +91,13 @@
 	run   func()
 }
 
-func newWorld(t testing.TB, f fleet.Fleet, seed uint64) *world {
-	w := &world{
+func newSimulation(t testing.TB, f fleet.Fleet, seed uint64) *simulation {
+	w := &simulation{
 		t: t, rnd: rand.New(rand.NewPCG(seed, 1)), byAddr: map[string]*host{}, values: map[string][]value{},
-		second: map[time.Duration]int{},
-		cut:    func(_, _ *host) bool { return false },
-		down:   func(string) bool { return false },
-		asOf:   func(string) time.Duration { return 1 << 62 },
+		callsBySecond: map[time.Duration]int{},
+		cut:           func(_, _ *host) bool { return false },
+		down:          func(string) bool { return false },
+		asOf:          func(string) time.Duration { return 1 << 62 },
 	}
 	regions := map[string]string{}
 	for _, z := range f.Zones {
@@ -122,16 +123,16 @@
 	return w
 }
 
-// start starts a host's process, with an empty memory.
-func (w *world) start(h *host) {
+// start starts a new process on a host, without state.
+func (w *simulation) start(h *host) {
 	h.Incarnation += 10_000
-	h.dead, h.frozen, h.born, h.view = false, false, w.now, nil
+	h.dead, h.frozen, h.startedAt, h.view = false, false, w.now, nil
 	h.events, h.waiting = nil, nil
 	h.best = config.Version{}
 	h.state = core.New(h.Self, h.seed+h.Incarnation)
 }
 
-func (w *world) publish(f fleet.Fleet) {
+func (w *simulation) publish(f fleet.Fleet) {
 	pub, err := f.Print()
 	require.NoError(w.t, err)
 	for _, doc := range append(pub.Services, pub.Index) {
@@ -139,13 +140,13 @@
 	}
 }
 
-func (w *world) put(key string, text []byte) {
+func (w *simulation) put(key string, text []byte) {
 	w.version++
 	w.values[key] = append(w.values[key], value{w.version, text, w.now})
 }
 
-// listVMs publishes the VM list; states override "live", "" leaves a VM out.
-func (w *world) listVMs(states map[string]platform.VMState) {
+// listVMs publishes the VM list. states overrides the state "live"; "" omits a VM.
+func (w *simulation) listVMs(states map[string]platform.VMState) {
 	w.version++
 	list := platform.VMList{Version: w.version}
 	for _, h := range w.hosts {
@@ -162,7 +163,7 @@
 	w.vms = append(w.vms, list)
 }
 
-func (w *world) read(zone, key string) (value, error) {
+func (w *simulation) read(zone, key string) (value, error) {
 	if w.down(zone) {
 		return value{}, errDown
 	}
@@ -175,20 +176,20 @@
 	return value{}, platform.ErrNotFound
 }
 
-// later runs f in a host's process after a time, unless that process has ended.
-func (w *world) later(h *host, after time.Duration, f func()) {
+// later runs f in a host's process after a delay, unless that process has ended.
+func (w *simulation) later(h *host, after time.Duration, f func()) {
 	w.pending = append(w.pending, pending{w.now + after, h, h.state, f})
 }
 
-// run lets time pass.
-func (w *world) run(d time.Duration) {
+// run advances the simulation by d.
+func (w *simulation) run(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.step()
 	}
 }
 
-// until lets time pass until a condition holds, and gives how long it took.
-func (w *world) until(limit time.Duration, what string, holds func() bool) time.Duration {
+// until advances the simulation until a condition holds and returns the time it took.
+func (w *simulation) until(limit time.Duration, what string, holds func() bool) time.Duration {
 	w.t.Helper()
 	start := w.now
 	for !holds() {
@@ -200,7 +201,7 @@
 	return w.now - start
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now += tick
 	due := w.pending
 	w.pending = nil
@@ -225,27 +226,27 @@
 	}
 }
 
-// each does n things, those of large fleets on several processors. The States
-// share nothing, so it makes no difference to what happens.
-func (w *world) each(n int, f func(i int)) {
-	const share = 100
+// each calls f for 0 to n-1, concurrently for large fleets. The States batch nothing,
+// so this doesn't change the results.
+func (w *simulation) each(n int, f func(i int)) {
+	const batch = 100
 	var wg sync.WaitGroup
-	for from := 0; from < n; from += share {
-		part := func() {
-			for i := from; i < min(from+share, n); i++ {
+	for from := 0; from < n; from += batch {
+		runBatch := func() {
+			for i := from; i < min(from+batch, n); i++ {
 				f(i)
 			}
 		}
-		if n <= share {
-			part()
+		if n <= batch {
+			runBatch()
 			return
 		}
-		wg.Go(part)
+		wg.Go(runBatch)
 	}
 	wg.Wait()
 }
 
-func (w *world) tick(h *host) []core.Command {
+func (w *simulation) tick(h *host) []core.Command {
 	waiting := h.waiting
 	h.waiting = nil
 	for _, ready := range waiting {
@@ -253,18 +254,18 @@
 			h.waiting = append(h.waiting, ready)
 		}
 	}
-	events := append(h.events, h.seen)
+	events := append(h.events, h.backendStatus)
 	h.events = nil
 	start := time.Now()
 	defer func() { h.busy += time.Since(start) }()
-	return h.state.Tick(core.Input{Now: w.now - h.born, Events: events})
+	return h.state.Tick(core.Input{Now: w.now - h.startedAt, Events: events})
 }
 
-func (w *world) do(h *host, cmd core.Command) {
+func (w *simulation) do(h *host, cmd core.Command) {
 	switch c := cmd.(type) {
 	case core.Publish:
 		v := c.View.Config.Index.Version
-		require.Falsef(w.t, h.best.Newer(v), "%s went back from %v to %v", h.VM, h.best, v)
+		require.Falsef(w.t, h.best.Newer(v), "%s reverted from %v to %v", h.VM, h.best, v)
 		h.best, h.view = v, c.View
 	case core.Log:
 		h.logs = append(h.logs, c.Message)
@@ -275,23 +276,23 @@
 	case core.FetchDocument:
 		w.fetchDocument(h, c)
 	case core.FetchIndex:
-		w.ask(h, c.Peer, &wire.Fetch{Digest: c.Digest}, func(m wire.Message, err error) core.Event {
+		w.call(h, c.Peer, &wire.Fetch{Digest: c.Digest}, func(m wire.Message, err error) core.Event {
 			doc, _ := m.(*wire.Document)
 			return core.IndexRead{Text: text(doc), Peer: c.Peer, Want: c.Digest, Err: empty(doc, err)}
 		})
 	case core.FetchVMs:
-		w.ask(h, c.Peer, &wire.FetchVMs{}, func(_ wire.Message, err error) core.Event {
+		w.call(h, c.Peer, &wire.FetchVMs{}, func(_ wire.Message, err error) core.Event {
 			if err != nil {
 				return core.VMsRead{Peer: c.Peer, Err: err}
 			}
 			return core.VMsRead{Peer: c.Peer, List: w.byAddr[c.Peer].state.VMs()}
 		})
 	case core.SendGossip:
-		w.ask(h, c.Addr, c.News, func(m wire.Message, err error) core.Event {
+		w.call(h, c.Addr, c.Message, func(m wire.Message, err error) core.Event {
 			if err != nil {
 				return core.GossipFailed{VM: c.VM}
 			}
-			return core.GossipHeard{News: m.(*wire.Gossip), Addr: c.Addr}
+			return core.GossipReceived{Message: m.(*wire.Gossip), Addr: c.Addr}
 		})
 	}
 }
@@ -310,10 +311,11 @@
 	return err
 }
 
-// watch answers once ready gives an event, or when the platform's hold ends.
-func (w *world) watch(h *host, hold time.Duration, ready func(last bool) core.Event) {
+// watch delivers the event of ready once ready returns one; last is true when the hold
+// time has expired.
+func (w *simulation) watch(h *host, hold time.Duration, ready func(last bool) core.Event) {
 	w.calls++
-	w.second[w.now.Truncate(time.Second)]++
+	w.callsBySecond[w.now.Truncate(time.Second)]++
 	end := w.now + hold
 	h.waiting = append(h.waiting, func() bool {
 		e := ready(w.now >= end)
@@ -324,7 +326,7 @@
 	})
 }
 
-func (w *world) readIndex(h *host, c core.ReadIndex) {
+func (w *simulation) readIndex(h *host, c core.ReadIndex) {
 	hold := time.Duration(0)
 	if c.Watch {
 		hold = watchHold
@@ -338,7 +340,7 @@
 	})
 }
 
-func (w *world) watchVMs(h *host, c core.WatchVMs) {
+func (w *simulation) watchVMs(h *host, c core.WatchVMs) {
 	hold := watchHold
 	if c.After == 0 {
 		hold = 0
@@ -355,7 +357,7 @@
 	})
 }
 
-func (w *world) fetchDocument(h *host, c core.FetchDocument) {
+func (w *simulation) fetchDocument(h *host, c core.FetchDocument) {
 	if c.Peer == "" {
 		w.watch(h, 0, func(bool) core.Event {
 			v, err := w.read(h.Zone, c.Entry.Key)
@@ -363,14 +365,14 @@
 		})
 		return
 	}
-	w.ask(h, c.Peer, &wire.Fetch{Digest: c.Entry.Digest}, func(m wire.Message, err error) core.Event {
+	w.call(h, c.Peer, &wire.Fetch{Digest: c.Entry.Digest}, func(m wire.Message, err error) core.Event {
 		doc, _ := m.(*wire.Document)
 		return core.DocumentRead{Entry: c.Entry, Peer: c.Peer, Text: text(doc), Err: empty(doc, err)}
 	})
 }
 
-// ask carries a message to a peer and its answer back.
-func (w *world) ask(h *host, addr string, m wire.Message, event func(wire.Message, error) core.Event) {
+// call sends a message to a peer and delivers its reply as an event.
+func (w *simulation) call(h *host, addr string, m wire.Message, event func(wire.Message, error) core.Event) {
 	w.count(h, m)
 	lost := func() { w.later(h, timeout, func() { h.events = append(h.events, event(nil, errDown)) }) }
 	peer := w.byAddr[addr]
@@ -379,37 +381,38 @@
 		return
 	}
 	state := h.state
-	w.later(peer, hop, func() {
+	w.later(peer, linkDelay, func() {
 		reply := answer(peer, m)
 		w.count(peer, reply)
 		if w.cut(peer, h) || h.state != state {
 			lost()
 			return
 		}
-		w.later(h, hop, func() { h.events = append(h.events, event(reply, nil)) })
+		w.later(h, linkDelay, func() { h.events = append(h.events, event(reply, nil)) })
 	})
 }
 
 func answer(h *host, m wire.Message) wire.Message {
 	switch m := m.(type) {
 	case *wire.Gossip:
-		h.events = append(h.events, core.GossipHeard{News: m})
-		return h.state.News()
+		h.events = append(h.events, core.GossipReceived{Message: m})
+		return h.state.GossipMessage()
 	case *wire.Fetch:
 		return &wire.Document{Digest: m.Digest, Text: h.state.Document(m.Digest)}
 	}
 	return &wire.VMs{}
 }
 
-func (w *world) count(h *host, m wire.Message) {
+func (w *simulation) count(h *host, m wire.Message) {
 	frame, err := wire.Encode(m)
 	require.NoError(w.t, err)
 	w.bytes += len(frame)
 	h.bytes += len(frame)
 }
 
-// inForce says whether a revision is in force on every node that runs.
-func (w *world) inForce(revision uint64) func() bool {
+// inForce returns a condition that is true if the revision is in force on every running
+// node.
+func (w *simulation) inForce(revision uint64) func() bool {
 	return func() bool {
 		for _, h := range w.hosts {
 			if !h.dead && (h.view == nil || h.view.Config.Index.Version.Revision != revision) {
@@ -420,8 +423,9 @@
 	}
 }
 
-// aFleet declares services with targets spread over zones, three regions.
-func aFleet(revision uint64, zones, services, targets int) fleet.Fleet {
+// newFleet returns a fleet of services with targets spread over the zones of three
+// regions.
+func newFleet(revision uint64, zones, services, targets int) fleet.Fleet {
 	f := fleet.Fleet{Name: "test", Revision: revision, Teams: []fleet.Team{{Name: "team"}}}
 	for i := range zones {
 		f.Zones = append(f.Zones, fleet.Zone{Name: fmt.Sprintf("z%d", i), Region: fmt.Sprintf("r%d", i%3)})
@@ -438,7 +442,7 @@
 	return f
 }
 
-func changed(f fleet.Fleet, revision uint64, queue int) fleet.Fleet {
+func changedFleet(f fleet.Fleet, revision uint64, queue int) fleet.Fleet {
 	f.Revision = revision
 	f.Services = append([]fleet.Service(nil), f.Services...)
 	f.Services[0].Queue = queue
--- a/internal/link/dialer.go
+++ b/internal/link/dialer.go
@@ -72,7 +72,7 @@
 	return time.Until(deadline)
 }
 
-// MaxSendBytes returns the maximum number of bytes that a Call of m sends. If the
+// Cost returns the maximum number of bytes that a Call of m sends. If the
 // idle connection turns out to be closed, m is sent twice.
 func (d *Dialer) Cost(m wire.Message) int {
 	return wire.Size(&d.hello) + 2*wire.Size(m)
--- a/internal/wire/keys.go
+++ b/internal/wire/keys.go
@@ -39,12 +39,12 @@
 	Data []byte `msgpack:"d"`
 }
 
-// KeysKept is the storing peer's reply to a KeysPart.
+// KeysAck is the storing peer's reply to a KeysPart.
 type KeysKept struct {
 	OK bool `msgpack:"o"`
 }
 
-// KeysAsk requests one part of the key table of the VM's previous process.
+// KeysRequest requests one part of the key table of the VM's previous process.
 type KeysAsk struct {
 	Format      uint8  `msgpack:"f"`
 	VM          string `msgpack:"v"`
@@ -64,7 +64,7 @@
 	Incarnation uint64 `msgpack:"i"`
 	Service     string `msgpack:"s"`
 	LifetimeMs  int64  `msgpack:"l"`
-	// ReachMs is the age from which the records are complete. It is negative in a
+	// HistoryMs is the age from which the records are complete. It is negative in a
 	// process that started recently.
 	ReachMs int64       `msgpack:"m"`
 	Targets []string    `msgpack:"t"`
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -182,7 +182,7 @@
 	AttemptDone
 	// AttemptLost ran or may have run, but its answer is not available.
 	AttemptLost
-	// AttemptElsewhere belongs to an incarnation other than the answering one.
+	// AttemptOtherIncarnation belongs to an incarnation other than the answering one.
 	AttemptElsewhere
 	// AttemptWaiting has arrived at the guard but is not recorded yet; it can still
 	// be sealed.
