--- a/internal/core/bad_hours_test.go
+++ b/internal/core/bad_hours_test.go
@@ -189,10 +189,10 @@
 		if size.targets == fleetSizes[0].targets {
 			partitioned = time.Hour
 		}
-		for _, hour := range outages(partitioned) {
-			b.Run(hour.name+"/"+size.name, func(b *testing.B) {
+		for _, o := range outages(partitioned) {
+			b.Run(o.name+"/"+size.name, func(b *testing.B) {
 				for b.Loop() {
-					hour.report(b, newFleet(1, size.zones, size.services, size.targets))
+					o.report(b, newFleet(1, size.zones, size.services, size.targets))
 				}
 			})
 		}
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -226,7 +226,7 @@
 	}
 }
 
-// each calls f for 0 to n-1, concurrently for large fleets. The States batch nothing,
+// each calls f for 0 to n-1, concurrently for large fleets. The States share nothing,
 // so this doesn't change the results.
 func (w *simulation) each(n int, f func(i int)) {
 	const batch = 100
