--- a/internal/kind/kind.go
+++ b/internal/kind/kind.go
@@ -1,5 +1,5 @@
-// Package kind holds the closed list of error kinds of the system and the one
-// table that turns a kind into the answer a caller gets.
+// Package kind defines the error kinds of the system and the table that maps
+// each kind to the HTTP response sent to the caller.
 package kind
 
 import (
@@ -9,165 +9,173 @@
 	"time"
 )
 
-// Kind names one way in which the system itself answers a request.
+// Kind identifies why the system itself, and not a backend server, answered a request.
 type Kind string
 
-// The closed list of kinds. A new kind needs a row in the table below.
+// All error kinds. A new kind needs a row in the answers table below.
 const (
-	// BadRequest is a request that is malformed and that no server was asked to run.
+	// BadRequest is a malformed request; it was not sent to any backend server.
 	BadRequest Kind = "bad-request"
 	// UnknownService is a request for a service the configuration doesn't declare.
 	UnknownService Kind = "unknown-service"
-	// NotReady is a node that has no configuration in force yet.
+	// NotReady is a node that has not applied a configuration yet.
 	NotReady Kind = "not-ready"
-	// NoTarget is a service with no target that could take the request.
+	// NoTarget is a service without any target available for the request.
 	NoTarget Kind = "no-target"
-	// Overloaded is a request refused because its wait would not fit the limits.
+	// Overloaded is a request refused because its queueing time would exceed the limits.
 	Overloaded Kind = "overloaded"
 	// OverLimit is a request refused by a limit of its service, team or route class.
 	OverLimit Kind = "over-limit"
 	// Leaving is a refusal by a backend server that is draining or stopping.
 	Leaving Kind = "leaving"
-	// DeadlineNotRun is a deadline that passed before the request could run.
+	// DeadlineNotRun is a deadline that expired before the request could run.
 	DeadlineNotRun Kind = "deadline-not-run"
-	// DeadlineUnknown is a deadline that passed while the request may have run.
+	// DeadlineUnknown is a deadline that expired when the request may already have run.
 	DeadlineUnknown Kind = "deadline-unknown"
-	// StaleAttempt is an attempt for another incarnation or from before the guard's window.
+	// StaleAttempt is an attempt for another incarnation of the guard, or one older
+	// than the guard's window.
 	StaleAttempt Kind = "stale-attempt"
-	// StaleConfig is a request routed under a configuration other than the guard's.
+	// StaleConfig is a request routed under a different configuration than the guard's.
 	StaleConfig Kind = "stale-config"
-	// Sealed is an attempt, or an idempotency key, that was sealed and will never run.
+	// Sealed is an attempt or an idempotency key that is marked as never to be run.
 	Sealed Kind = "sealed"
-	// KeyUnknown is an idempotency key whose earlier fate nobody can tell.
+	// KeyUnknown is an idempotency key whose earlier outcome cannot be determined.
 	KeyUnknown Kind = "key-unknown"
-	// KeyConflict is an idempotency key that was used before with another request.
+	// KeyConflict is an idempotency key that was used before for a different request.
 	KeyConflict Kind = "key-conflict"
-	// AnswerLost is a run that is done but whose answer is no longer kept.
+	// AnswerLost is a completed run whose answer is no longer stored.
 	AnswerLost Kind = "answer-lost"
-	// Running is an attempt that runs now; used between nodes, never shown to callers.
+	// Running is an attempt in progress; used between nodes, never sent to callers.
 	Running Kind = "running"
-	// BackendDied is a backend server whose process ended with the request in flight.
+	// BackendDied is a backend server whose process exited with the request in flight.
 	BackendDied Kind = "backend-died"
-	// BackendBroken is a backend server that broke off the exchange or broke its protocol.
+	// BackendBroken is a backend server that closed the connection before its answer
+	// was complete, or violated the protocol.
 	BackendBroken Kind = "backend-broken"
-	// Unreachable is a target that could not be reached at all; nothing was sent.
+	// Unreachable is a target that could not be connected to; nothing was sent.
 	Unreachable Kind = "unreachable"
-	// OutcomeUnknown is trouble after sending: the request may or may not have run.
+	// OutcomeUnknown is a failure after sending: the request may or may not have run.
 	OutcomeUnknown Kind = "outcome-unknown"
-	// Blocked is a request like those that crashed backend servers before.
+	// Blocked is a request similar to those that crashed backend servers before.
 	Blocked Kind = "blocked"
 	// TooDeep is a call chain longer than the declared depth.
 	TooDeep Kind = "too-deep"
-	// WrongFleet is a request at a guard's port that no node of the fleet sent.
+	// WrongFleet is a request to a guard's port that was not sent by a node of its fleet.
 	WrongFleet Kind = "wrong-fleet"
-	// BodyCut is an upload whose sender stopped before its end.
+	// BodyCut is an upload whose sender stopped before the end of the body.
 	BodyCut Kind = "body-cut"
 )
 
-// Outcome says what a caller may conclude about its request.
+// Outcome is what a caller may conclude about whether its request ran.
 type Outcome string
 
 // The outcomes that a system answer can carry.
 const (
-	// NotRun is said only on proof: no backend server ran the request and none will.
+	// NotRun is reported only if it is certain that no backend server ran the
+	// request and that none will.
 	NotRun Outcome = "not-run"
-	// Unknown is said wherever proof is missing.
+	// Unknown is reported in all other cases.
 	Unknown Outcome = "unknown"
 )
 
-// Answer is one row of the table: what a caller sees for a kind.
+// Answer describes the response to a caller for one kind.
 type Answer struct {
 	// Status is the HTTP status code (RFC 9110, section 15).
 	Status int
-	// Outcome is the default outcome; an Error may weaken it to Unknown.
+	// Outcome is the default outcome; an Error may override it with Unknown.
 	Outcome Outcome
-	// Retry says whether asking again can help, and so whether Retry-After is sent.
+	// Retry reports whether a retry by the caller can succeed; if so, Retry-After is sent.
 	Retry bool
-	// Next is what an entry may do with the request after this answer of a target.
-	Next Next
+	// Disposition is whether an entry may retry the request on another target after
+	// a target answered with this kind.
+	Disposition Disposition
 }
 
-// Next is what may be done with a request that a target didn't answer well.
-type Next uint8
+// Disposition is whether a request that failed at one target may be sent to another.
+type Disposition uint8
 
-// What may be done.
+// The dispositions.
 const (
-	// Stop: no other target would say otherwise.
-	Stop Next = iota
-	// Repeat: it may have run, so only an idempotent request goes to another target.
-	Repeat
-	// Elsewhere: the target refused it, and it may go to another one.
-	Elsewhere
-	// Free: as Elsewhere, and as no backend server was asked it costs nothing of
-	// what bounds such moves. A service of which half the backend servers have just
-	// died would otherwise refuse requests that the other half can serve.
-	Free
+	// NoRetry is for failures that would be the same at any other target.
+	NoRetry Disposition = iota
+	// RetryIfIdempotent is for requests that may have run, so that only idempotent
+	// ones are sent to another target.
+	RetryIfIdempotent
+	// RetryElsewhere is for requests that the target refused; any request may be
+	// sent to another target.
+	RetryElsewhere
+	// RetryUncounted is RetryElsewhere for requests that did not reach a backend
+	// server; such a retry does not count against the limits on retries. If it did,
+	// a service that has just lost half of its backend servers would refuse requests
+	// that the other half can serve.
+	RetryUncounted
 )
 
-var table = map[Kind]Answer{
-	BadRequest:      {http.StatusBadRequest, NotRun, false, Stop},
-	UnknownService:  {http.StatusNotFound, NotRun, false, Stop},
-	NotReady:        {http.StatusServiceUnavailable, NotRun, true, Free},
-	NoTarget:        {http.StatusServiceUnavailable, NotRun, true, Stop},
-	Overloaded:      {http.StatusServiceUnavailable, NotRun, true, Elsewhere},
-	OverLimit:       {http.StatusTooManyRequests, NotRun, true, Stop},
-	Leaving:         {http.StatusServiceUnavailable, NotRun, true, Free},
-	DeadlineNotRun:  {http.StatusGatewayTimeout, NotRun, true, Stop},
-	DeadlineUnknown: {http.StatusGatewayTimeout, Unknown, true, Stop},
-	StaleAttempt:    {http.StatusServiceUnavailable, NotRun, true, Free},
-	StaleConfig:     {http.StatusServiceUnavailable, NotRun, true, Free},
-	Sealed:          {http.StatusServiceUnavailable, NotRun, true, Elsewhere},
-	KeyUnknown:      {http.StatusServiceUnavailable, Unknown, true, Stop},
-	KeyConflict:     {http.StatusUnprocessableEntity, Unknown, false, Stop},
-	AnswerLost:      {http.StatusBadGateway, Unknown, false, Stop},
-	Running:         {http.StatusAccepted, Unknown, true, Stop},
-	BackendDied:     {http.StatusBadGateway, Unknown, true, Repeat},
-	BackendBroken:   {http.StatusBadGateway, Unknown, true, Repeat},
-	Unreachable:     {http.StatusServiceUnavailable, NotRun, true, Free},
-	OutcomeUnknown:  {http.StatusBadGateway, Unknown, true, Repeat},
-	Blocked:         {http.StatusServiceUnavailable, Unknown, true, Stop},
-	TooDeep:         {http.StatusLoopDetected, NotRun, false, Stop},
-	WrongFleet:      {http.StatusMisdirectedRequest, NotRun, true, Elsewhere},
-	BodyCut:         {http.StatusBadRequest, Unknown, false, Stop},
+var answers = map[Kind]Answer{
+	BadRequest:      {http.StatusBadRequest, NotRun, false, NoRetry},
+	UnknownService:  {http.StatusNotFound, NotRun, false, NoRetry},
+	NotReady:        {http.StatusServiceUnavailable, NotRun, true, RetryUncounted},
+	NoTarget:        {http.StatusServiceUnavailable, NotRun, true, NoRetry},
+	Overloaded:      {http.StatusServiceUnavailable, NotRun, true, RetryElsewhere},
+	OverLimit:       {http.StatusTooManyRequests, NotRun, true, NoRetry},
+	Leaving:         {http.StatusServiceUnavailable, NotRun, true, RetryUncounted},
+	DeadlineNotRun:  {http.StatusGatewayTimeout, NotRun, true, NoRetry},
+	DeadlineUnknown: {http.StatusGatewayTimeout, Unknown, true, NoRetry},
+	StaleAttempt:    {http.StatusServiceUnavailable, NotRun, true, RetryUncounted},
+	StaleConfig:     {http.StatusServiceUnavailable, NotRun, true, RetryUncounted},
+	Sealed:          {http.StatusServiceUnavailable, NotRun, true, RetryElsewhere},
+	KeyUnknown:      {http.StatusServiceUnavailable, Unknown, true, NoRetry},
+	KeyConflict:     {http.StatusUnprocessableEntity, Unknown, false, NoRetry},
+	AnswerLost:      {http.StatusBadGateway, Unknown, false, NoRetry},
+	Running:         {http.StatusAccepted, Unknown, true, NoRetry},
+	BackendDied:     {http.StatusBadGateway, Unknown, true, RetryIfIdempotent},
+	BackendBroken:   {http.StatusBadGateway, Unknown, true, RetryIfIdempotent},
+	Unreachable:     {http.StatusServiceUnavailable, NotRun, true, RetryUncounted},
+	OutcomeUnknown:  {http.StatusBadGateway, Unknown, true, RetryIfIdempotent},
+	Blocked:         {http.StatusServiceUnavailable, Unknown, true, NoRetry},
+	TooDeep:         {http.StatusLoopDetected, NotRun, false, NoRetry},
+	WrongFleet:      {http.StatusMisdirectedRequest, NotRun, true, RetryElsewhere},
+	BodyCut:         {http.StatusBadRequest, Unknown, false, NoRetry},
 }
 
-// AnswerOf returns the table's row for k; ok is false for a kind not listed.
+// AnswerOf returns the answer for k; ok is false if k is not a known kind.
 func AnswerOf(k Kind) (a Answer, ok bool) {
-	a, ok = table[k]
+	a, ok = answers[k]
 	return a, ok
 }
 
-// All returns every kind of the closed list, in no particular order.
+// All returns every kind, in no particular order.
 func All() []Kind {
-	kinds := make([]Kind, 0, len(table))
-	for k := range table {
+	kinds := make([]Kind, 0, len(answers))
+	for k := range answers {
 		kinds = append(kinds, k)
 	}
 	return kinds
 }
 
-// Error is an answer of the system on its way to the caller.
+// Error is a failure of a request, with what the caller is sent about it.
 type Error struct {
 	Kind Kind
-	// Message is shown to the caller; it names what was wrong in one line.
+	// Message is sent to the caller; it describes the failure in one line.
 	Message string
-	// Outcome overrides the table's outcome when it isn't empty.
+	// Outcome overrides the default outcome of the kind if it is not empty.
 	Outcome Outcome
-	// RetryAfter is the hint for the caller; zero means the default.
+	// RetryAfter is when the caller should retry; zero means the default.
 	RetryAfter time.Duration
-	// Wait is how long the request would have waited where it was refused; zero is
-	// not known.
+	// Wait is how long the request would have queued at the target that refused it;
+	// zero means unknown.
 	Wait time.Duration
-	// Death names the death of a backend server that this tells of; 0 is none.
+	// Death identifies the crash of a backend server that caused this error; 0 means none.
 	Death uint64
-	// Alone says that the request was the only one in flight at that death.
+	// Alone reports whether the request was the only one in flight at that crash.
 	Alone bool
-	// FromGuard says that the target's guard told it, and not the entry itself.
+	// FromGuard reports whether the error was sent by the target's guard rather than
+	// detected by the entry.
 	FromGuard bool
-	// FromBackend says that the backend server itself refused: the request arrived
-	// there, though it didn't run.
+	// FromBackend reports whether the backend server itself refused the request: it
+	// received the request but didn't run it.
 	FromBackend bool
-	// Cause is for logs only and never shown to callers.
+	// Cause is logged only and never sent to callers.
 	Cause error
 }
 
@@ -176,7 +184,7 @@
 	return &Error{Kind: k, Message: fmt.Sprintf(format, args...)}
 }
 
-// Error gives the kind and the message in one line.
+// Error returns the kind and the message in one line.
 func (e *Error) Error() string {
 	return string(e.Kind) + ": " + e.Message
 }
@@ -184,46 +192,47 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Said returns the outcome that the caller is told.
+// ReportedOutcome returns the outcome that is reported to the caller.
 func (e *Error) Said() Outcome {
 	if e.Outcome != "" {
 		return e.Outcome
 	}
-	return table[e.Kind].Outcome
+	return answers[e.Kind].Outcome
 }
 
-// MayMove says whether a request may go to another target after e.
+// MayTryOtherTarget reports whether a request may be sent to another target after e.
 func (e *Error) MayMove(idempotent bool) bool {
-	next := table[e.Kind].Next
-	return next == Elsewhere || next == Free || next == Repeat && idempotent
+	next := answers[e.Kind].Disposition
+	return next == RetryElsewhere || next == RetryUncounted || next == RetryIfIdempotent && idempotent
 }
 
-// Free says that e cost no backend server anything.
-func (e *Error) Free() bool { return table[e.Kind].Next == Free }
+// RetryIsUncounted reports whether a retry after e does not count against the
+// limits on retries, because the request did not reach a backend server.
+func (e *Error) Free() bool { return answers[e.Kind].Disposition == RetryUncounted }
 
-// Because sets the cause and returns e.
+// WithCause sets the cause and returns e.
 func (e *Error) Because(err error) *Error {
 	e.Cause = err
 	return e
 }
 
-// From finds the Error in err's chain; anything else becomes OutcomeUnknown,
-// because an error nobody foresaw proves nothing.
+// From returns the Error in err's chain. Any other error becomes OutcomeUnknown,
+// because it does not prove that the request didn't run.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
 	}
-	return New(OutcomeUnknown, "the request failed in an unforeseen way").Because(err)
+	return New(OutcomeUnknown, "the request failed with an unexpected error").Because(err)
 }
 
-// clipAt is the longest text of a caller's that a message repeats, in bytes.
-const clipAt = 64
+// maxClippedBytes is how much of a caller's text a message quotes.
+const maxClippedBytes = 64
 
-// Clip shortens a text that a caller sent for use in a message.
+// Clip truncates a text sent by a caller so that a message can quote it.
 func Clip(s string) string {
-	if len(s) > clipAt {
-		return s[:clipAt] + "..."
+	if len(s) > maxClippedBytes {
+		return s[:maxClippedBytes] + "..."
 	}
 	return s
 }
--- a/internal/kind/kind_test.go
+++ b/internal/kind/kind_test.go
@@ -20,12 +20,12 @@
 		require.GreaterOrEqual(t, row.Status, 200, k)
 		require.Contains(t, []kind.Outcome{kind.NotRun, kind.Unknown}, row.Outcome, k)
 		if kind.New(k, "").MayMove(false) {
-			require.Equal(t, kind.NotRun, row.Outcome, "%s may go elsewhere only when it wasn't run", k)
+			require.Equal(t, kind.NotRun, row.Outcome, "%s may be sent to another target only if it was not run", k)
 		}
 	}
 }
 
-func TestAnAnswerSurvivesTheHop(t *testing.T) {
+func TestReadReturnsWhatWriteSent(t *testing.T) {
 	for _, k := range kind.All() {
 		rec := httptest.NewRecorder()
 		sent := kind.New(k, "because %d", 7)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestTheBodyNamesKindAndMessage(t *testing.T) {
+func TestBodyHoldsKindAndMessage(t *testing.T) {
 	rec := httptest.NewRecorder()
 	kind.Write(rec, kind.New(kind.Overloaded, "full"))
 	var body map[string]string
@@ -52,18 +52,18 @@
 	require.Equal(t, "not-run", rec.Header().Get(headers.Outcome))
 }
 
-// A caller sees an error nobody foresaw. The request may have run, so the
-// answer must not claim that it didn't.
-func TestAnUnforeseenErrorIsUnknown(t *testing.T) {
+// After an unexpected error the request may have run, so the answer must not
+// report that it didn't.
+func TestUnexpectedErrorHasUnknownOutcome(t *testing.T) {
 	e := kind.From(errors.New("anything"))
 	require.Equal(t, kind.Unknown, e.Said())
 }
 
-// An attempt ran at a target; then the target's VM is gone and another fleet's
-// has its address. The entry, which comes back for the answer, is refused there
-// as not run. Were that taken for the guard's word, the caller would be told that
-// a booking that ran did not.
-func TestAnotherFleetIsNoWordOfTheGuard(t *testing.T) {
+// An attempt ran at a target, whose VM is then replaced by one of another fleet
+// with the same address. The entry asks there for the answer and is refused with
+// the outcome not-run. If that counted as an answer of the target's guard, the
+// caller would receive not-run for a booking that did run.
+func TestWrongFleetRefusalIsNotFromGuard(t *testing.T) {
 	for _, k := range kind.All() {
 		rec := httptest.NewRecorder()
 		kind.Write(rec, kind.New(k, ""))
