--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -1,5 +1,5 @@
-// Package headers names the HTTP headers of the system, and those that may not
-// travel from one exchange to the next.
+// Package headers defines the HTTP headers of the system and removes those that
+// must not be forwarded.
 package headers
 
 import (
@@ -10,23 +10,25 @@
 
 // Headers that callers use.
 const (
-	// Service names the service a request is for; without it Host does.
+	// Service is the name of the service a request is for; if it is absent, Host
+	// selects the service.
 	Service = "Limpetdock-Service"
-	// TimeoutMs is what is left of the deadline, in whole milliseconds.
+	// TimeoutMs is the remaining time until the deadline, in whole milliseconds.
 	TimeoutMs = "Limpetdock-Timeout-Ms"
-	// IdempotencyKey is a ticket of the system or a key of the caller's own.
+	// IdempotencyKey is a ticket issued by the system or a key chosen by the caller.
 	IdempotencyKey = "Idempotency-Key"
-	// RequestID identifies a request in logs and ledgers; handed on unchanged.
+	// RequestID identifies a request in logs and ledgers; forwarded unchanged.
 	RequestID = "X-Request-Id"
-	// Outcome is what a system answer says about the request.
+	// Outcome is the outcome of the request in an answer made by the system.
 	Outcome = "Limpetdock-Outcome"
-	// Kind is the error kind of a system answer.
+	// Kind is the error kind of an answer made by the system.
 	Kind = "Limpetdock-Kind"
-	// Ticket is the ticket in the answer of a ticket request.
+	// Ticket is the ticket in the answer to a ticket request.
 	Ticket = "Limpetdock-Ticket"
-	// Depth counts the calls that led to this one; backend servers hand it on.
+	// Depth is the number of calls in the call chain before this one; backend
+	// servers forward it.
 	Depth = "Limpetdock-Depth"
-	// RetriesLeft is what is left of a call chain's retries; backend servers hand it on.
+	// RetriesLeft is the remaining retries of a call chain; backend servers forward it.
 	RetriesLeft = "Limpetdock-Retries-Left"
 )
 
@@ -36,38 +38,39 @@
 	Attempt = "Limpetdock-Attempt"
 	// Incarnation is the guard's incarnation, in hexadecimal.
 	Incarnation = "Limpetdock-Incarnation"
-	// Tick is the guard's own coarse tick as the entry learnt it.
+	// Tick is the last value of the guard's coarse clock that the entry received.
 	Tick = "Limpetdock-Tick"
-	// Exchange is the id of an idempotent request on its way, for progress checks.
+	// Exchange is the id of an idempotent request in flight, for progress checks.
 	Exchange = "Limpetdock-Exchange"
-	// Fleet is the name of the deployment; a guard refuses others.
+	// Fleet is the name of the deployment; a guard refuses requests of others.
 	Fleet = "Limpetdock-Fleet"
-	// Config is the config.Stamp of the configuration that routed the request.
+	// Config is the config.Stamp of the configuration under which the request was routed.
 	Config = "Limpetdock-Config"
 	// Collect asks for the answer of an attempt instead of running anything.
 	Collect = "Limpetdock-Collect"
-	// Suspect marks a request whose like was in flight when a backend server died.
+	// Suspect marks a request similar to one that was in flight when a backend
+	// server crashed.
 	Suspect = "Limpetdock-Suspect"
-	// Death names the death of the backend server that a request was in flight at.
+	// Death identifies the crash of a backend server during which a request was in flight.
 	Death = "Limpetdock-Death"
-	// DeathAlone says that nothing else ran at that death.
+	// DeathAlone is set if no other request was in flight at that crash.
 	DeathAlone = "Limpetdock-Death-Alone"
-	// Load carries a guard's load on a reply, under the measuring budget.
+	// Load is a guard's load, sent with an answer within the measuring budget.
 	Load = "Limpetdock-Load"
 )
 
-// internalNames are removed from what callers and backend servers send.
+// internalNames are removed from messages of callers and backend servers.
 var internalNames = []string{
 	Attempt, Incarnation, Tick, Exchange, Config, Fleet, Collect, Suspect, Death, DeathAlone, Load, Kind, Outcome, Ticket,
 }
 
-// hopByHop are the headers of one connection only (RFC 9110, section 7.6.1).
+// hopByHop are the headers that apply to a single connection (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// StripHop removes the headers of one connection, and those Connection names.
+// StripHopByHop removes the hop-by-hop headers and those listed in Connection.
 func StripHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -81,27 +84,27 @@
 	}
 }
 
-// StripInternal removes the headers that only nodes may set.
+// StripInternal removes the headers that only nodes are allowed to set.
 func StripInternal(h http.Header) {
 	for _, name := range internalNames {
 		delete(h, name)
 	}
 }
 
-// Copy adds every header of src to dst. Where dst has none of a name yet, both
-// share the values from then on; nobody may change those of src any more.
+// Copy adds every header of src to dst. If dst has no values for a name, it shares
+// those of src, which must not be modified after the call.
 func Copy(dst, src http.Header) {
 	for name, values := range src {
-		if had := dst[name]; len(had) > 0 {
-			values = append(had, values...)
+		if existing := dst[name]; len(existing) > 0 {
+			values = append(existing, values...)
 		}
-		// Without room behind them, a later append to dst doesn't write into src.
+		// The capacity is limited so that a later append to dst doesn't write into src.
 		dst[name] = values[:len(values):len(values)]
 	}
 }
 
-// SetAll sets each canonical name to the value that follows it. The values share
-// one array, so that a request on its way costs one allocation and not one each.
+// SetAll sets each canonical name in pairs to the value that follows it. The
+// values share one array, which saves an allocation for each header of a request.
 func SetAll(h http.Header, pairs ...string) {
 	values := make([]string, len(pairs)/2)
 	for i := range values {
--- a/internal/headers/headers_test.go
+++ b/internal/headers/headers_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The values share an array: one that is added later to a name must not become
-// the next name's.
-func TestValuesThatAreSetTogetherStayApart(t *testing.T) {
+// The values set by SetAll share an array: adding a value to one header must not
+// overwrite the value of the next.
+func TestAddAfterSetAllKeepsOtherValues(t *testing.T) {
 	h := http.Header{}
 	SetAll(h, Service, "a", Depth, "1")
 	h.Add(Service, "b")
--- a/internal/headers/load.go
+++ b/internal/headers/load.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// LoadReport is the value of the Load header: a guard's own counts.
+// LoadReport is the value of the Load header: the load measured by a guard.
 type LoadReport struct {
 	Running, Waiting, Slots int
-	// Service is how long a slot is held on average; Held is how long the
-	// guard had this request, so that the entry can tell the way from the work.
+	// ServiceTime is how long a slot is held on average. GuardTime is how long this
+	// request was at the guard; the entry subtracts it to obtain the RTT.
 	Service, Held time.Duration
 }
 
-const loadFields = 5
+const loadFieldCount = 5
 
-// String gives the numbers in order, times in microseconds: every byte of it is
-// paid for, so there are no names in it.
+// String returns the numbers in order, with times in microseconds. It omits names
+// because the bytes count against the measuring budget.
 func (l LoadReport) String() string {
 	text := make([]byte, 0, 32)
 	for i, v := range []int64{
@@ -31,16 +31,16 @@
 	return string(text)
 }
 
-// LineSize is how many bytes a header takes on the wire in HTTP/1.1.
+// LineSize returns the size of a header line in HTTP/1.1, in bytes.
 func LineSize(name, value string) int { return len(name) + len(": ") + len(value) + len("\r\n") }
 
-// ParseLoad reads what String gave; ok is false for anything else.
+// ParseLoad parses the output of String; ok is false for any other text.
 func ParseLoad(text string) (l LoadReport, ok bool) {
 	fields := strings.Split(text, ",")
-	if len(fields) != loadFields {
+	if len(fields) != loadFieldCount {
 		return l, false
 	}
-	var v [loadFields]int64
+	var v [loadFieldCount]int64
 	for i, f := range fields {
 		n, err := strconv.ParseUint(f, 10, 31)
 		if err != nil {
--- a/internal/headers/replay_test.go
+++ b/internal/headers/replay_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A kept connection to a server breaks after the server has read, and perhaps
-// run, a request. net/http's transport would send a GET again by itself, over a
-// new connection, and the entry would count one run where there were two.
-func TestTransportSendsNoRequestTwice(t *testing.T) {
+// A reused connection breaks after the server has read, and perhaps run, a request.
+// net/http's transport would resend a GET over a new connection, and the entry
+// would count one run when there were two.
+func TestTransportDoesNotReplayRequests(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,9 +67,9 @@
 	}
 }
 
-// A backend server that takes a GET's declared length or encoding for a body
-// would wait for it, or refuse the request as smuggling.
-func TestUnreplayableRequestCarriesNoSignOfABody(t *testing.T) {
+// A backend server that expects a body because of a declared length or encoding
+// would wait for it, or refuse the GET as request smuggling.
+func TestUnreplayableRequestDeclaresNoBody(t *testing.T) {
 	r, err := http.NewRequest(http.MethodGet, "http://a/x", nil)
 	require.NoError(t, err)
 	r.Header.Set("User-Agent", "u")
