--- a/internal/inifile/fault.go
+++ b/internal/inifile/fault.go
@@ -7,7 +7,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// Fault is one thing wrong with a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
 	File    string
 	Line    int
@@ -16,15 +16,16 @@
 	Allowed string
 }
 
-// Error gives the fault in one line: file, line, key, what is wrong, what is allowed.
+// Error returns the fault in one line: file, line, key, problem and allowed values.
 func (f Fault) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s (allowed: %s)", f.File, f.Line, f.Key, f.Wrong, f.Allowed)
 }
 
-// Faults is every fault of a file, in the order of the table of keys.
+// Faults lists every error in a file. Duplicate keys come first, then unknown
+// keys, then missing and invalid values in the order of the table of keys.
 type Faults []Fault
 
-// Error lists the faults, one a line.
+// Error returns the faults, one per line.
 func (fs Faults) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
@@ -33,11 +34,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// lineIndex maps "section.key" to the line it stands on first, because the INI
-// library doesn't keep line numbers; twice holds the line of the second one
-// where there is any, of which the library would silently take the last.
-func lineIndex(text []byte) (where, twice map[string]int) {
-	where, twice = map[string]int{}, map[string]int{}
+// indexLines maps "section.key" to the line of its first occurrence, because the INI
+// library doesn't keep line numbers. duplicates maps it to the line of the last
+// repetition, if any: the library would silently use the value of that line.
+func indexLines(text []byte) (first, duplicates map[string]int) {
+	first, duplicates = map[string]int{}, map[string]int{}
 	section := ini.DefaultSection
 	for i, line := range strings.Split(string(text), "\n") {
 		line = strings.TrimSpace(line)
@@ -53,11 +54,11 @@
 			continue
 		}
 		id := section + "." + strings.TrimSpace(key)
-		if where[id] != 0 {
-			twice[id] = i + 1
+		if first[id] != 0 {
+			duplicates[id] = i + 1
 			continue
 		}
-		where[id] = i + 1
+		first[id] = i + 1
 	}
-	return where, twice
+	return first, duplicates
 }
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,6 +1,6 @@
-// Package inifile reads settings files (INI) by a table of their keys: each key with
-// its default, what is allowed and where its value goes. A file with anything wrong is
-// refused whole, with every fault and its line.
+// Package inifile parses settings files (INI) according to a table of keys, which
+// defines the default, the allowed values and the destination of each key. An
+// invalid file is refused as a whole, with every error and its line.
 package inifile
 
 import (
@@ -10,54 +10,55 @@
 	"gopkg.in/ini.v1"
 )
 
-// Field is one key of the settings S and how its value is checked.
+// Field describes one key of the settings S.
 type Field[S any] struct {
 	Section, Key string
-	// Fallback holds where the key is missing, unless it is Required.
-	Fallback string
+	// Default is used if the key is missing, unless the key is Required.
+	Default  string
 	Required bool
-	// Allowed tells operators which values are.
+	// Allowed describes the allowed values in error messages.
 	Allowed string
-	// Set checks a value and stores it; its error says what is wrong.
+	// Set checks a value and stores it; its error describes the problem.
 	Set func(s *S, value string) error
 }
 
-// Required is a key that has to be there.
+// Required returns the Field of a key that must be present.
 func Required[S any](section, key, allowed string, set func(*S, string) error) Field[S] {
 	return Field[S]{Section: section, Key: key, Required: true, Allowed: allowed, Set: set}
 }
 
-// Optional is a key with a default.
-func Optional[S any](section, key, fallback, allowed string, set func(*S, string) error) Field[S] {
-	return Field[S]{Section: section, Key: key, Fallback: fallback, Allowed: allowed, Set: set}
+// Optional returns the Field of a key with a default.
+func Optional[S any](section, key, defaultValue, allowed string, set func(*S, string) error) Field[S] {
+	return Field[S]{Section: section, Key: key, Default: defaultValue, Allowed: allowed, Set: set}
 }
 
-// Table is all keys of the settings S.
+// Table describes all keys of the settings S.
 type Table[S any] struct {
 	Fields []Field[S]
-	// Free are sections whose keys have names of the operators' own.
+	// FreeSections are sections whose keys are chosen by operators.
 	Free []string
-	// EmptyIsMissing takes a key without a value for one that isn't there, as a
-	// template leaves it where it has nothing to fill in.
+	// EmptyIsMissing treats a key without a value as missing, because templates
+	// leave the value empty if they have nothing to fill in.
 	EmptyIsMissing bool
 }
 
-// Parse checks text and stores its values in s; file is used in messages only. It
-// gives the document, for its Free sections. The error is Faults.
+// Parse checks text and stores its values in s; file is the name used in error
+// messages. It returns the document, for access to its FreeSections. The error is
+// Faults.
 func (t Table[S]) Parse(file string, text []byte, s *S) (*ini.File, error) {
 	doc, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: t.EmptyIsMissing}, text)
 	if err != nil {
 		return nil, Faults{{File: file, Line: 1, Key: "file", Wrong: strings.TrimSpace(err.Error()), Allowed: "INI: [section], key = value"}}
 	}
-	where, twice := lineIndex(text)
+	firstLines, duplicates := indexLines(text)
 	var faults Faults
-	for id, line := range twice {
+	for id, line := range duplicates {
 		faults = append(faults, Fault{file, line, id, "stands there twice", "each key once"})
 	}
 	slices.SortFunc(faults, func(a, b Fault) int { return a.Line - b.Line })
-	faults = append(faults, t.unknown(file, doc, where)...)
+	faults = append(faults, t.unknownKeys(file, doc, firstLines)...)
 	for _, f := range t.Fields {
-		if fault, ok := t.apply(f, s, file, doc, where); !ok {
+		if fault, ok := t.apply(f, s, file, doc, firstLines); !ok {
 			faults = append(faults, fault)
 		}
 	}
@@ -67,11 +68,11 @@
 	return doc, nil
 }
 
-func (t Table[S]) apply(f Field[S], s *S, file string, doc *ini.File, where map[string]int) (Fault, bool) {
+func (t Table[S]) apply(f Field[S], s *S, file string, doc *ini.File, firstLines map[string]int) (Fault, bool) {
 	id := f.Section + "." + f.Key
-	fault := Fault{File: file, Line: max(where[id], 1), Key: id, Allowed: f.Allowed}
+	fault := Fault{File: file, Line: max(firstLines[id], 1), Key: id, Allowed: f.Allowed}
 	section := doc.Section(f.Section)
-	// Key adds the one that it is asked for.
+	// HasKey must come first, because Key adds a missing key.
 	missing := !section.HasKey(f.Key)
 	value := section.Key(f.Key).String()
 	missing = missing || value == "" && t.EmptyIsMissing
@@ -80,7 +81,7 @@
 		fault.Wrong = "missing"
 		return fault, false
 	case missing:
-		value = f.Fallback
+		value = f.Default
 	}
 	if err := f.Set(s, value); err != nil {
 		fault.Wrong = err.Error()
@@ -89,8 +90,9 @@
 	return Fault{}, true
 }
 
-// unknown lists the keys that no field has: a misspelt one would be without effect.
-func (t Table[S]) unknown(file string, doc *ini.File, where map[string]int) Faults {
+// unknownKeys returns a fault for each key that is not in the table, because a
+// misspelt key would otherwise be ignored silently.
+func (t Table[S]) unknownKeys(file string, doc *ini.File, firstLines map[string]int) Faults {
 	known := map[string][]string{}
 	var sections []string
 	for _, f := range t.Fields {
@@ -110,11 +112,11 @@
 			if ok && slices.Contains(allowed, key.Name()) {
 				continue
 			}
-			what := strings.Join(allowed, ", ")
+			allowedText := strings.Join(allowed, ", ")
 			if !ok {
-				what = "sections " + strings.Join(append(sections, t.Free...), ", ")
+				allowedText = "sections " + strings.Join(append(sections, t.Free...), ", ")
 			}
-			faults = append(faults, Fault{file, max(where[id], 1), id, "unknown key", what})
+			faults = append(faults, Fault{file, max(firstLines[id], 1), id, "unknown key", allowedText})
 		}
 	}
 	return faults
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/limpetdock/limpetdock/internal/settings"
 )
 
-const good = `[node]
+const validSettings = `[node]
 vm = vm1
 fleet = test
 region = r
@@ -30,7 +30,7 @@
 `
 
 func TestHealthAndStopDefaults(t *testing.T) {
-	s, err := settings.Parse("node.ini", []byte(good))
+	s, err := settings.Parse("node.ini", []byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, "/healthz", s.Health)
 	require.Equal(t, 3*time.Second, s.StopGrace)
@@ -38,7 +38,7 @@
 	require.Len(t, s.Seeds, 2)
 }
 
-// Each fault must name the file, the line, the key, and what is allowed.
+// Each error must state the file, the line, the key and the allowed values.
 func TestHealthAndStopFaults(t *testing.T) {
 	cases := []struct{ name, old, replacement, want string }{
 		{"health path without slash", "[backend]", "[backend]\nhealth = healthz", "node.ini:13: backend.health"},
@@ -53,15 +53,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := settings.Parse("node.ini", []byte(strings.Replace(good, c.old, c.replacement, 1)))
+			_, err := settings.Parse("node.ini", []byte(strings.Replace(validSettings, c.old, c.replacement, 1)))
 			require.ErrorContains(t, err, c.want)
 		})
 	}
 }
 
-// FuzzParse gives Parse whatever a settings file may hold.
+// FuzzParse checks Parse with arbitrary settings files.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := settings.Parse("node.ini", text)
 		if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `[node]
+const validSettings = `[node]
 vm = orders-1
 fleet = shop
 region = rs
@@ -26,7 +26,7 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse("node.ini", []byte(good))
+	s, err := Parse("node.ini", []byte(validSettings))
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.1:7400", s.Admin, "loopback by default")
 	require.Equal(t, []string{"10.0.0.2:7300", "10.0.0.3:7300"}, s.Seeds)
@@ -34,8 +34,8 @@
 	require.Equal(t, 1024, s.ConnsPerIP)
 }
 
-// Every fault is one line that says where, what is wrong, and what is allowed.
-func TestFaults(t *testing.T) {
+// Every error is one line with the position, the problem and the allowed values.
+func TestParseFaults(t *testing.T) {
 	tests := map[string]struct{ old, new, want string }{
 		"name":            {"vm = orders-1", "vm = Orders_1", `node.ini:2: node.vm: "Orders_1" is no name (allowed: lower-case`},
 		"missing":         {"zone = rs-a\n", "", "node.ini:1: node.zone: missing (allowed: "},
@@ -53,8 +53,8 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			require.Contains(t, good, test.old)
-			_, err := Parse("node.ini", []byte(strings.Replace(good, test.old, test.new, 1)))
+			require.Contains(t, validSettings, test.old)
+			_, err := Parse("node.ini", []byte(strings.Replace(validSettings, test.old, test.new, 1)))
 			var faults Faults
 			require.ErrorAs(t, err, &faults)
 			require.Len(t, faults, 1)
@@ -64,12 +64,12 @@
 	}
 }
 
-func TestEveryFaultIsListedAtOnce(t *testing.T) {
+func TestParseReportsAllFaults(t *testing.T) {
 	_, err := Parse("node.ini", []byte("[node]\nvm = X\n"))
 	require.Equal(t, 9, strings.Count(err.Error(), "\n")+1, err)
 }
 
-func TestThePageNamesEveryKey(t *testing.T) {
+func TestOperatorPageListsEveryKey(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/settings.md")
 	require.NoError(t, err)
 	for _, f := range table.Fields {
@@ -78,8 +78,8 @@
 		at := strings.Index(string(page), row)
 		line, _, _ := strings.Cut(string(page)[at:], "\n")
 		require.Contains(t, line, "| "+f.Allowed+" |")
-		if f.Fallback != "" {
-			require.Contains(t, line, "| `"+f.Fallback+"` |")
+		if f.Default != "" {
+			require.Contains(t, line, "| `"+f.Default+"` |")
 		}
 	}
 }
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -13,22 +13,22 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-func name(at func(*Settings) *string) func(*Settings, string) error {
+func nameSetter(field func(*Settings) *string) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		if !namePattern.MatchString(v) {
 			return eris.Errorf("%q is no name", v)
 		}
-		*at(s) = v
+		*field(s) = v
 		return nil
 	}
 }
 
-func address(at func(*Settings) *string) func(*Settings, string) error {
+func addressSetter(field func(*Settings) *string) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		if err := checkAddress(v); err != nil {
 			return err
 		}
-		*at(s) = v
+		*field(s) = v
 		return nil
 	}
 }
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func base(at func(*Settings) **url.URL) func(*Settings, string) error {
+func baseURLSetter(field func(*Settings) **url.URL) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		u, err := url.Parse(v)
 		if err != nil || u.Scheme != "http" {
@@ -53,14 +53,14 @@
 		if err := checkAddress(u.Host); err != nil {
 			return err
 		}
-		*at(s) = u
+		*field(s) = u
 		return nil
 	}
 }
 
 const maxSeeds = 8
 
-func seeds(s *Settings, v string) error {
+func setSeeds(s *Settings, v string) error {
 	if strings.TrimSpace(v) == "" {
 		return nil
 	}
@@ -68,17 +68,17 @@
 	if len(list) > maxSeeds {
 		return eris.Errorf("%d addresses", len(list))
 	}
-	for _, one := range list {
-		one = strings.TrimSpace(one)
-		if err := checkAddress(one); err != nil {
+	for _, addr := range list {
+		addr = strings.TrimSpace(addr)
+		if err := checkAddress(addr); err != nil {
 			return err
 		}
-		s.Seeds = append(s.Seeds, one)
+		s.Seeds = append(s.Seeds, addr)
 	}
 	return nil
 }
 
-func healthPath(s *Settings, v string) error {
+func setHealthPath(s *Settings, v string) error {
 	if u, err := url.Parse(v); err != nil || !strings.HasPrefix(v, "/") || u.Path != v {
 		return eris.Errorf("%q is no path", v)
 	}
@@ -86,13 +86,13 @@
 	return nil
 }
 
-func duration(low, high time.Duration, at func(*Settings) *time.Duration) func(*Settings, string) error {
+func durationSetter(low, high time.Duration, field func(*Settings) *time.Duration) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		d, err := time.ParseDuration(v)
 		if err != nil || d < low || d > high {
 			return eris.Errorf("%q is out of range", v)
 		}
-		*at(s) = d
+		*field(s) = d
 		return nil
 	}
 }
@@ -102,7 +102,7 @@
 	maxConnsPerIP = 100_000
 )
 
-func connsPerIP(s *Settings, v string) error {
+func setConnsPerIP(s *Settings, v string) error {
 	n, err := strconv.Atoi(v)
 	if err != nil || n < minConnsPerIP || n > maxConnsPerIP {
 		return eris.Errorf("%q is out of range", v)
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func logLevel(s *Settings, v string) error {
+func setLogLevel(s *Settings, v string) error {
 	n, err := strconv.Atoi(v)
 	if err != nil || n < 0 || n > 1 {
 		return eris.Errorf("%q is no level", v)
