--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
 // Package config parses and checks the configuration documents that operators
-// publish, and holds them as one immutable value once they are whole.
+// publish, and combines a complete set of them into one immutable value.
 package config
 
 import (
@@ -14,16 +14,16 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// Version orders configurations. Two different indexes of one revision, as two
-// operators publishing at once would leave, are ordered by digest: every node
-// then keeps the same one, whichever it saw first.
+// Version orders configurations. If two operators publish different indexes with
+// the same revision at once, these are ordered by digest, so that every node keeps
+// the same one, whichever it received first.
 type Version struct {
 	Revision uint64 `json:"revision"`
 	// Digest is the SHA-256 of the index, in hexadecimal.
 	Digest string `json:"digest"`
 }
 
-// Newer says whether v goes before other.
+// Newer reports whether v supersedes other.
 func (v Version) Newer(other Version) bool {
 	if v.Revision != other.Revision {
 		return v.Revision > other.Revision
@@ -31,12 +31,12 @@
 	return v.Digest > other.Digest
 }
 
-// String gives the revision with the start of the digest.
+// String returns the revision and the first characters of the digest.
 func (v Version) String() string {
 	return fmt.Sprintf("%d-%.8s", v.Revision, v.Digest)
 }
 
-// Entry is what the index says of one service document.
+// Entry is the index entry of one service document.
 type Entry struct {
 	Service, Key string
 	Size         int
@@ -52,63 +52,65 @@
 	Entries []Entry
 }
 
-// Service is one service's document, parsed and checked.
+// Service is a parsed and checked service document.
 type Service struct {
 	fleet.Service
 	Entry Entry
 	Text  []byte
 }
 
-// Tag names the document in requests between nodes.
+// Tag returns the prefix of the digest that identifies the document in requests
+// between nodes.
 func (s *Service) Tag() string { return s.Entry.Digest[:tagSize] }
 
-// Config is a whole configuration. It is immutable.
+// Config is a complete configuration. It is immutable.
 type Config struct {
 	Index    *Index
 	Services map[string]*Service
-	// ByHost finds a service by the Host of a request.
+	// ByHost maps the Host of a request to its service.
 	ByHost map[string]*Service
-	// Regions finds the region of an availability zone.
+	// Regions maps an availability zone to its region.
 	Regions map[string]string
-	// targets finds the target that stands on a VM.
-	targets map[string]placed
+	// targets maps a VM to the target on it.
+	targets map[string]serviceTarget
 }
 
-// placed is a target with the service it is of.
-type placed struct {
+// serviceTarget is a target and the service it belongs to.
+type serviceTarget struct {
 	service *Service
 	target  *fleet.Target
 }
 
-// Digest gives the SHA-256 of a text in hexadecimal.
+// Digest returns the SHA-256 of text in hexadecimal.
 func Digest(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:])
 }
 
-// Assemble joins an index with all of its documents, in any order, and checks the whole.
+// Assemble combines an index with all of its documents, which may be in any order,
+// and checks the result.
 func Assemble(idx *Index, services []*Service) (*Config, error) {
 	c := &Config{
 		Index: idx, Services: map[string]*Service{}, ByHost: map[string]*Service{}, Regions: map[string]string{},
-		targets: map[string]placed{},
+		targets: map[string]serviceTarget{},
 	}
-	whole := idx.Fleet
+	combined := idx.Fleet
 	for _, e := range idx.Entries {
 		at := slices.IndexFunc(services, func(s *Service) bool { return s.Entry == e })
 		if at < 0 {
 			return nil, eris.Errorf("document %s is missing", e.Key)
 		}
 		s := services[at]
-		whole.Services = append(whole.Services, s.Service)
+		combined.Services = append(combined.Services, s.Service)
 		c.Services[s.Name] = s
 		for _, h := range s.Hosts {
 			c.ByHost[h] = s
 		}
 		for i := range s.Targets {
-			c.targets[s.Targets[i].VM] = placed{s, &s.Targets[i]}
+			c.targets[s.Targets[i].VM] = serviceTarget{s, &s.Targets[i]}
 		}
 	}
-	if err := whole.Check(); err != nil {
+	if err := combined.Check(); err != nil {
 		return nil, eris.Wrap(err, "configuration")
 	}
 	for _, z := range idx.Fleet.Zones {
@@ -117,7 +119,8 @@
 	return c, nil
 }
 
-// Lookup finds the service of a request: by name, else by host without its port.
+// Lookup returns the service of a request, or nil: by name if it has one, else by
+// host without the port.
 func (c *Config) Lookup(name, host string) *Service {
 	if name != "" {
 		return c.Services[name]
@@ -125,8 +128,8 @@
 	if h, _, ok := strings.Cut(host, ":"); ok {
 		host = h
 	}
-	// Hosts are compared without regard to case (RFC 9110, section 4.2.3); those
-	// of documents are in lower case.
+	// Hosts are case-insensitive (RFC 9110, section 4.2.3); those in documents are
+	// in lower case.
 	host = strings.ToLower(host)
 	if s, ok := c.ByHost[host]; ok {
 		return s
@@ -134,7 +137,7 @@
 	return c.Services[host]
 }
 
-// Target finds the target that stands on a VM, with its service.
+// Target returns the target on a VM and its service, or nil for both.
 func (c *Config) Target(vm string) (*Service, *fleet.Target) {
 	p := c.targets[vm]
 	return p.service, p.target
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	"github.com/limpetdock/limpetdock/internal/config"
 )
 
-func printed(t testing.TB) *fleet.Publication {
+func publication(t testing.TB) *fleet.Publication {
 	f := fleet.Fleet{
 		Name: "test", Revision: 3, Teams: []fleet.Team{{Name: "team"}}, Zones: []fleet.Zone{{Name: "z", Region: "r"}},
 		Services: []fleet.Service{{
@@ -25,8 +25,8 @@
 	return pub
 }
 
-func whole(t testing.TB) *config.Config {
-	pub := printed(t)
+func assembled(t testing.TB) *config.Config {
+	pub := publication(t)
 	idx, err := config.ParseIndex(pub.Index.Text)
 	require.NoError(t, err)
 	s, err := config.ParseService(idx.Entries[0], pub.Services[0].Text)
@@ -36,8 +36,8 @@
 	return c
 }
 
-func TestWhatIsPrintedIsRead(t *testing.T) {
-	c := whole(t)
+func TestPrintedDocumentsAreParsed(t *testing.T) {
+	c := assembled(t)
 	require.EqualValues(t, 3, c.Index.Version.Revision)
 	require.Equal(t, "s", c.Lookup("", "s.example:80").Name)
 	svc, target := c.Target("vm1")
@@ -48,8 +48,8 @@
 	require.Nil(t, target)
 }
 
-func TestADocumentThatIsMissingOrAnother(t *testing.T) {
-	pub := printed(t)
+func TestMissingOrChangedDocumentIsRefused(t *testing.T) {
+	pub := publication(t)
 	idx, err := config.ParseIndex(pub.Index.Text)
 	require.NoError(t, err)
 	_, err = config.Assemble(idx, nil)
@@ -58,7 +58,7 @@
 	require.ErrorContains(t, err, "doesn't match")
 }
 
-// Versions order every pair of different indexes the same way on every node.
+// Every pair of different versions must have one order, the same on every node.
 func TestVersionsAreTotallyOrdered(t *testing.T) {
 	list := []config.Version{{}, {Revision: 1, Digest: "a"}, {Revision: 1, Digest: "b"}, {Revision: 2, Digest: "a"}}
 	for i, a := range list {
@@ -68,8 +68,8 @@
 	}
 }
 
-func TestAStampTellsWhoIsNewer(t *testing.T) {
-	c := whole(t)
+func TestStampNewer(t *testing.T) {
+	c := assembled(t)
 	s := c.Stamp(c.Services["s"], "vm1")
 	got, ok := config.ParseStamp(s.String())
 	require.True(t, ok)
@@ -83,9 +83,10 @@
 	}
 }
 
-// FuzzParseIndex gives ParseIndex whatever operators may publish by mistake.
+// FuzzParseIndex checks ParseIndex with arbitrary documents, which operators could
+// publish by mistake.
 func FuzzParseIndex(f *testing.F) {
-	f.Add(printed(f).Index.Text)
+	f.Add(publication(f).Index.Text)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		idx, err := config.ParseIndex(text)
 		if err != nil {
@@ -96,10 +97,10 @@
 	})
 }
 
-// FuzzParseService does the same for a service's document. Its size and digest
-// are made to match, since whoever publishes a document makes its entry too.
+// FuzzParseService checks ParseService with arbitrary documents. Their entries have
+// the right size and digest, since the publisher of a document also writes its entry.
 func FuzzParseService(f *testing.F) {
-	f.Add(printed(f).Services[0].Text)
+	f.Add(publication(f).Services[0].Text)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		e := config.Entry{Service: "s", Key: "k", Size: len(text), Digest: config.Digest(text)}
 		s, err := config.ParseService(e, text)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -12,11 +12,11 @@
 
 // ParseIndex parses and checks an index document.
 func ParseIndex(text []byte) (*Index, error) {
-	doc, err := load(text)
+	doc, err := parseINI(text)
 	if err != nil {
 		return nil, err
 	}
-	r := &reader{}
+	r := &sectionReader{}
 	idx := &Index{Text: text}
 	for _, s := range doc.Sections() {
 		r.indexSection(idx, s)
@@ -30,28 +30,28 @@
 	return idx, nil
 }
 
-func (r *reader) indexSection(idx *Index, s *ini.Section) {
+func (r *sectionReader) indexSection(idx *Index, s *ini.Section) {
 	what, name, _ := strings.Cut(s.Name(), " ")
 	f := &idx.Fleet
 	switch what {
 	case "index":
-		r.allow(s, "revision", "fleet")
+		r.allowKeys(s, "revision", "fleet")
 	case "ports":
-		r.allow(s, "guard", "control")
+		r.allowKeys(s, "guard", "control")
 		f.Ports = fleet.Ports{Guard: r.int(s, "guard"), Control: r.int(s, "control")}
 	case "budget":
-		r.allow(s, "requests", "bytes", "cross-region-bytes")
+		r.allowKeys(s, "requests", "bytes", "cross-region-bytes")
 		f.Budget = fleet.Budget{
 			Requests: r.int(s, "requests"), Bytes: r.int(s, "bytes"), CrossRegionBytes: r.int(s, "cross-region-bytes"),
 		}
 	case "zone":
-		r.allow(s, "region")
+		r.allowKeys(s, "region")
 		f.Zones = append(f.Zones, fleet.Zone{Name: name, Region: s.Key("region").String()})
 	case "team":
-		r.allow(s, "in-flight")
+		r.allowKeys(s, "in-flight")
 		f.Teams = append(f.Teams, fleet.Team{Name: name, InFlight: r.int(s, "in-flight")})
 	case "document":
-		r.allow(s, "key", "size", "sha256")
+		r.allowKeys(s, "key", "size", "sha256")
 		e := Entry{Service: name, Key: s.Key("key").String(), Size: r.int(s, "size"), Digest: s.Key("sha256").String()}
 		if len(e.Digest) != sha256.Size*2 || e.Key == "" || e.Size > fleet.MaxDocument {
 			r.fail("[%s]: needs a key, a size up to a megabyte and a SHA-256", s.Name())
@@ -67,11 +67,11 @@
 	if len(text) != e.Size || Digest(text) != e.Digest {
 		return nil, eris.Errorf("document %s doesn't match its index entry", e.Key)
 	}
-	doc, err := load(text)
+	doc, err := parseINI(text)
 	if err != nil {
 		return nil, err
 	}
-	r := &reader{}
+	r := &sectionReader{}
 	s := &Service{Entry: e, Text: text}
 	for _, sec := range doc.Sections() {
 		r.serviceSection(&s.Service, sec)
@@ -88,14 +88,14 @@
 	return s, nil
 }
 
-func (r *reader) serviceSection(out *fleet.Service, s *ini.Section) {
+func (r *sectionReader) serviceSection(out *fleet.Service, s *ini.Section) {
 	what, name, _ := strings.Cut(s.Name(), " ")
 	switch what {
 	case "service":
-		r.allow(s, "name", "hosts", "team", "policy", "timeout", "max-timeout", "hops",
+		r.allowKeys(s, "name", "hosts", "team", "policy", "timeout", "max-timeout", "hops",
 			"retry-percent", "hedge-percent", "queue", "queue-order", "adaptive", "refusal", "in-flight", "drain", "key-lifetime")
 		out.Name = s.Key("name").String()
-		out.Hosts = split(s.Key("hosts").String())
+		out.Hosts = splitList(s.Key("hosts").String())
 		out.Team = s.Key("team").String()
 		out.Policy = s.Key("policy").String()
 		out.Timeout = r.duration(s, "timeout")
@@ -117,7 +117,7 @@
 	case "route":
 		out.Routes = append(out.Routes, r.route(s, name))
 	case "target":
-		r.allow(s, "zone", "slots", "connections")
+		r.allowKeys(s, "zone", "slots", "connections")
 		out.Targets = append(out.Targets, fleet.Target{
 			VM: name, Zone: s.Key("zone").String(), Slots: r.int(s, "slots"), Connections: r.int(s, "connections"),
 		})
@@ -126,14 +126,14 @@
 	}
 }
 
-func (r *reader) route(s *ini.Section, name string) fleet.Route {
-	r.allow(s, "methods", "path", "runs", "retries", "class", "in-flight")
+func (r *sectionReader) route(s *ini.Section, name string) fleet.Route {
+	r.allowKeys(s, "methods", "path", "runs", "retries", "class", "in-flight")
 	runs := s.Key("runs").String()
 	if runs != fleet.RunsIdempotent && runs != fleet.RunsAtMostOnce {
 		r.fail("[%s] runs: %q (allowed: %s, %s)", s.Name(), runs, fleet.RunsIdempotent, fleet.RunsAtMostOnce)
 	}
 	route := fleet.Route{
-		Name: name, Methods: split(s.Key("methods").String()), Path: s.Key("path").String(),
+		Name: name, Methods: splitList(s.Key("methods").String()), Path: s.Key("path").String(),
 		Idempotent: runs == fleet.RunsIdempotent, Class: r.int(s, "class"), InFlight: r.int(s, "in-flight"),
 	}
 	if s.HasKey("retries") {
--- a/internal/config/publication.go
+++ b/internal/config/publication.go
@@ -8,7 +8,7 @@
 
 var errNoIndex = eris.Errorf("there is no document %q", fleet.IndexKey)
 
-// Fleet is the name of the deployment.
+// Fleet returns the name of the deployment, or "" if there is no index.
 func (c *Config) Fleet() string {
 	if c.Index == nil {
 		return ""
@@ -16,7 +16,7 @@
 	return c.Index.Fleet.Name
 }
 
-// Publication gives the documents as they were published.
+// Publication returns the documents as they were published.
 func (c *Config) Publication() *fleet.Publication {
 	pub := &fleet.Publication{Index: fleet.Document{Key: fleet.IndexKey, Text: c.Index.Text}}
 	for _, e := range c.Index.Entries {
@@ -27,8 +27,8 @@
 	return pub
 }
 
-// FromDocuments puts documents together as a node does: index holds the names,
-// sizes and digests of the others, which docs holds by key.
+// FromDocuments builds a Config from docs, which maps keys to documents, in the same
+// way as a node does: the index lists the names, sizes and digests of the others.
 func FromDocuments(docs map[string][]byte) (*Config, error) {
 	text, ok := docs[fleet.IndexKey]
 	if !ok {
@@ -42,7 +42,7 @@
 	for _, e := range idx.Entries {
 		doc, ok := docs[e.Key]
 		if !ok {
-			continue // Assemble says which one is missing.
+			continue // Assemble reports the missing document.
 		}
 		s, err := ParseService(e, doc)
 		if err != nil {
--- a/internal/config/publication_test.go
+++ b/internal/config/publication_test.go
@@ -10,7 +10,7 @@
 	"github.com/limpetdock/limpetdock/internal/config"
 )
 
-func TestDocumentsMakeAWholeOrNothing(t *testing.T) {
+func TestFromDocumentsRefusesIncompleteSets(t *testing.T) {
 	pub, err := deployments.Eisbruecke(3).Print()
 	require.NoError(t, err)
 	c, err := config.FromDocuments(pub.Values())
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -12,9 +12,9 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-func load(text []byte) (*ini.File, error) {
+func parseINI(text []byte) (*ini.File, error) {
 	if len(text) > fleet.MaxDocument {
-		return nil, eris.Errorf("a document of %d bytes is over the limit of one megabyte", len(text))
+		return nil, eris.Errorf("the document has %d bytes (limit: one megabyte)", len(text))
 	}
 	doc, err := ini.LoadSources(ini.LoadOptions{}, text)
 	if err != nil {
@@ -23,23 +23,23 @@
 	return doc, nil
 }
 
-// reader keeps the first fault found while a document is read.
-type reader struct{ err error }
+// sectionReader reads the values of a document and keeps the first error.
+type sectionReader struct{ err error }
 
-func (r *reader) fail(format string, args ...any) {
+func (r *sectionReader) fail(format string, args ...any) {
 	if r.err == nil {
 		r.err = eris.Errorf(format, args...)
 	}
 }
 
-func (r *reader) unknownSection(s *ini.Section) {
+func (r *sectionReader) unknownSection(s *ini.Section) {
 	if s.Name() == ini.DefaultSection && len(s.Keys()) == 0 {
 		return
 	}
 	r.fail("[%s]: unknown section", s.Name())
 }
 
-func (r *reader) allow(s *ini.Section, keys ...string) {
+func (r *sectionReader) allowKeys(s *ini.Section, keys ...string) {
 	for _, k := range s.Keys() {
 		if !slices.Contains(keys, k.Name()) {
 			r.fail("[%s] %s: unknown key (allowed: %s)", s.Name(), k.Name(), strings.Join(keys, ", "))
@@ -47,7 +47,7 @@
 	}
 }
 
-func (r *reader) int(s *ini.Section, key string) int {
+func (r *sectionReader) int(s *ini.Section, key string) int {
 	v, err := strconv.Atoi(s.Key(key).String())
 	if err != nil {
 		r.fail("[%s] %s: %q is no whole number", s.Name(), key, s.Key(key).String())
@@ -55,8 +55,8 @@
 	return v
 }
 
-// onOff reads a switch; where it is left out, the fallback holds.
-func (r *reader) onOff(s *ini.Section, key string, fallback bool) bool {
+// onOff reads a switch; it returns fallback if the key is missing.
+func (r *sectionReader) onOff(s *ini.Section, key string, fallback bool) bool {
 	switch v := s.Key(key).String(); v {
 	case "":
 		return fallback
@@ -70,7 +70,7 @@
 	}
 }
 
-func (r *reader) uint(s *ini.Section, key string) uint64 {
+func (r *sectionReader) uint(s *ini.Section, key string) uint64 {
 	v, err := strconv.ParseUint(s.Key(key).String(), 10, 64)
 	if err != nil || v == 0 {
 		r.fail("[%s] %s: %q is no whole number above 0", s.Name(), key, s.Key(key).String())
@@ -78,7 +78,7 @@
 	return v
 }
 
-func (r *reader) duration(s *ini.Section, key string) time.Duration {
+func (r *sectionReader) duration(s *ini.Section, key string) time.Duration {
 	v, err := time.ParseDuration(s.Key(key).String())
 	if err != nil {
 		r.fail("[%s] %s: %q is no duration", s.Name(), key, s.Key(key).String())
@@ -86,7 +86,7 @@
 	return v
 }
 
-func split(list string) []string {
+func splitList(list string) []string {
 	if list == "" {
 		return nil
 	}
--- a/internal/config/stamp.go
+++ b/internal/config/stamp.go
@@ -5,45 +5,45 @@
 	"strings"
 )
 
-// Stamp says under which configuration a request was routed. It travels with
-// requests between nodes.
+// Stamp identifies the configuration under which a request was routed. It is sent
+// with requests between nodes.
 type Stamp struct {
-	// Tag names the service's document.
+	// Tag identifies the service's document.
 	Tag string
-	// Version is the whole configuration's, with the start of its digest only.
+	// Version is the version of the configuration, with only a prefix of its digest.
 	Version Version
-	// VM is the node that routed the request, and so holds the version.
+	// VM is the VM of the node that routed the request and so has this version.
 	VM string
 }
 
 const (
 	tagSize = 16
-	// stampDigest is how much of the index's digest a Stamp holds.
-	stampDigest = 16
+	// stampDigestSize is the length of the prefix of the index's digest in a Stamp.
+	stampDigestSize = 16
 )
 
-// Stamp gives the stamp of requests that the node on vm routes to a service.
+// Stamp returns the stamp for requests that the node on vm routes to service s.
 func (c *Config) Stamp(s *Service, vm string) Stamp {
-	return Stamp{Tag: s.Tag(), Version: c.Index.Version.short(), VM: vm}
+	return Stamp{Tag: s.Tag(), Version: c.Index.Version.withShortDigest(), VM: vm}
 }
 
-// Newer says whether a stamp's configuration goes before c.
-func (s Stamp) Newer(c *Config) bool { return s.Version.Newer(c.Index.Version.short()) }
+// Newer reports whether the stamp's configuration supersedes c.
+func (s Stamp) Newer(c *Config) bool { return s.Version.Newer(c.Index.Version.withShortDigest()) }
 
-func (v Version) short() Version {
-	return Version{Revision: v.Revision, Digest: v.Digest[:min(stampDigest, len(v.Digest))]}
+func (v Version) withShortDigest() Version {
+	return Version{Revision: v.Revision, Digest: v.Digest[:min(stampDigestSize, len(v.Digest))]}
 }
 
-// String gives the stamp as it travels; ParseStamp reads it.
+// String returns the encoded stamp; ParseStamp parses it.
 func (s Stamp) String() string {
 	return strings.Join([]string{s.Tag, strconv.FormatUint(s.Version.Revision, 10), s.Version.Digest, s.VM}, " ")
 }
 
-// ParseStamp reads what String gave.
+// ParseStamp parses the output of String and reports whether it is valid.
 func ParseStamp(text string) (Stamp, bool) {
 	const parts = 4
 	f := strings.Split(text, " ")
-	if len(f) != parts || len(f[0]) != tagSize || len(f[2]) != stampDigest {
+	if len(f) != parts || len(f[0]) != tagSize || len(f[2]) != stampDigestSize {
 		return Stamp{}, false
 	}
 	revision, err := strconv.ParseUint(f[1], 10, 64)
