--- a/internal/diff/diff.go
+++ b/internal/diff/diff.go
@@ -1,4 +1,4 @@
-// Package diff says in words what changes for callers between two configurations.
+// Package diff describes in text what changes for callers between two configurations.
 package diff
 
 import (
@@ -12,55 +12,55 @@
 	"github.com/limpetdock/limpetdock/internal/config"
 )
 
-// Level says how much a change needs an operator's eye.
+// Level is the severity of a change.
 type Level string
 
 // The levels.
 const (
-	// Warning is a change that can harm: work done twice, requests refused, or a
-	// configuration that nodes won't take.
+	// Warning is a change that can cause harm: requests run twice, requests refused,
+	// or a configuration that nodes do not accept.
 	Warning Level = "warning"
 	// Note is any other change.
 	Note Level = "note"
 )
 
-// Change is one thing that changes.
+// Change is one difference between two configurations.
 type Change struct {
 	Level Level `json:"level"`
-	// Where is "fleet", or a service by name.
+	// Where is "fleet" or the name of a service.
 	Where string `json:"where"`
 	What  string `json:"what"`
 }
 
-// String gives the change in one line.
+// String returns the change in one line.
 func (c Change) String() string {
 	return fmt.Sprintf("%s: %s: %s", c.Level, c.Where, c.What)
 }
 
-// list gathers changes of one place.
-type list struct {
+// changeList collects the changes of the fleet or of one service.
+type changeList struct {
 	where   string
 	changes []Change
 }
 
-func (l *list) warnf(format string, args ...any) { l.add(Warning, format, args) }
-func (l *list) notef(format string, args ...any) { l.add(Note, format, args) }
+func (l *changeList) warnf(format string, args ...any) { l.add(Warning, format, args) }
+func (l *changeList) notef(format string, args ...any) { l.add(Note, format, args) }
 
-func (l *list) add(level Level, format string, args []any) {
+func (l *changeList) add(level Level, format string, args []any) {
 	l.changes = append(l.changes, Change{Level: level, Where: l.where, What: fmt.Sprintf(format, args...)})
 }
 
-// value notes a value that differs.
-func value[T comparable](l *list, what string, before, after T) {
+// compareValue adds a note if a value differs.
+func compareValue[T comparable](l *changeList, what string, before, after T) {
 	if before != after {
 		l.notef("%s goes from %v to %v", what, before, after)
 	}
 }
 
-// Compare lists what changes from before to after, the fleet first, then
-// services by name.
+// Compare returns the changes from before to after: those of the fleet, then those
+// of the services by name.
 func Compare(before, after *config.Config) []Change {
-	fleetWide := &list{where: "fleet"}
+	fleetWide := &changeList{where: "fleet"}
 	compareFleet(fleetWide, before, after)
 	changes := fleetWide.changes
 	names := map[string]bool{}
@@ -70,14 +70,14 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		l := &list{where: name}
+		l := &changeList{where: name}
 		compareService(l, before.Services[name], after.Services[name])
 		changes = append(changes, l.changes...)
 	}
 	return changes
 }
 
-func compareFleet(l *list, before, after *config.Config) {
+func compareFleet(l *changeList, before, after *config.Config) {
 	b, a := before.Index.Fleet, after.Index.Fleet
 	if b.Name != a.Name {
 		l.warnf("the fleet's name goes from %s to %s: nodes refuse another fleet's configuration", b.Name, a.Name)
@@ -87,14 +87,14 @@
 		l.warnf("ports go from guard %d, control %d to guard %d, control %d: nodes listen where their settings say",
 			b.Ports.Guard, b.Ports.Control, a.Ports.Guard, a.Ports.Control)
 	}
-	value(l, "budget: measuring requests per second", b.Budget.Requests, a.Budget.Requests)
-	value(l, "budget: measuring bytes per second", b.Budget.Bytes, a.Budget.Bytes)
-	value(l, "budget: measuring bytes between regions per second", b.Budget.CrossRegionBytes, a.Budget.CrossRegionBytes)
+	compareValue(l, "budget: measuring requests per second", b.Budget.Requests, a.Budget.Requests)
+	compareValue(l, "budget: measuring bytes per second", b.Budget.Bytes, a.Budget.Bytes)
+	compareValue(l, "budget: measuring bytes between regions per second", b.Budget.CrossRegionBytes, a.Budget.CrossRegionBytes)
 	compareZones(l, before.Regions, after.Regions)
 	compareTeams(l, b.Teams, a.Teams)
 }
 
-func compareVersions(l *list, before, after config.Version) {
+func compareVersions(l *changeList, before, after config.Version) {
 	switch {
 	case before == after:
 	case after.Revision == before.Revision:
@@ -106,7 +106,7 @@
 	}
 }
 
-func compareZones(l *list, before, after map[string]string) {
+func compareZones(l *changeList, before, after map[string]string) {
 	for _, zone := range slices.Sorted(maps.Keys(before)) {
 		region, still := after[zone]
 		switch {
@@ -123,7 +123,7 @@
 	}
 }
 
-func compareTeams(l *list, before, after []fleet.Team) {
+func compareTeams(l *changeList, before, after []fleet.Team) {
 	old := map[string]fleet.Team{}
 	for _, t := range before {
 		old[t.Name] = t
@@ -135,81 +135,81 @@
 			l.notef("team %s is new", t.Name)
 			continue
 		}
-		limit(l, "team "+t.Name+": ", b.InFlight, t.InFlight)
+		compareLimit(l, "team "+t.Name+": ", b.InFlight, t.InFlight)
 	}
 	for _, name := range slices.Sorted(maps.Keys(old)) {
 		l.notef("team %s is gone", name)
 	}
 }
 
-// limit notes a limit on requests at once, where 0 is no limit.
-func limit(l *list, where string, before, after int) {
+// compareLimit adds a note if a limit on concurrent requests differs; 0 means no limit.
+func compareLimit(l *changeList, where string, before, after int) {
 	if before == after {
 		return
 	}
-	l.notef("%srequests at once at each node go from %s to %s", where, limitWord(before), limitWord(after))
+	l.notef("%srequests at once at each node go from %s to %s", where, formatLimit(before), formatLimit(after))
 }
 
-func limitWord(n int) string {
+func formatLimit(n int) string {
 	if n == 0 {
 		return "no limit"
 	}
 	return fmt.Sprint(n)
 }
 
-func compareService(l *list, before, after *config.Service) {
+func compareService(l *changeList, before, after *config.Service) {
 	switch {
 	case after == nil:
 		l.warnf("the service is gone: its requests are answered unknown-service")
 		return
 	case before == nil:
-		l.notef("the service is new; its targets: %s", names(vms(after.Targets)))
+		l.notef("the service is new; its targets: %s", joinNames(vmNames(after.Targets)))
 		return
 	}
 	compareHosts(l, before.Hosts, after.Hosts)
-	value(l, "team", before.Team, after.Team)
-	value(l, "policy", before.Policy, after.Policy)
-	value(l, "deadline of requests that bring none", before.Timeout, after.Timeout)
+	compareValue(l, "team", before.Team, after.Team)
+	compareValue(l, "policy", before.Policy, after.Policy)
+	compareValue(l, "deadline of requests that bring none", before.Timeout, after.Timeout)
 	if after.MaxTimeout < before.MaxTimeout {
 		l.warnf("the longest deadline falls from %v to %v: longer ones are cut to it", before.MaxTimeout, after.MaxTimeout)
 	} else {
-		value(l, "the longest deadline", before.MaxTimeout, after.MaxTimeout)
+		compareValue(l, "the longest deadline", before.MaxTimeout, after.MaxTimeout)
 	}
-	value(l, "targets that one request may be offered to", before.Hops, after.Hops)
-	value(l, "retries in percent of requests", before.RetryPercent, after.RetryPercent)
+	compareValue(l, "targets that one request may be offered to", before.Hops, after.Hops)
+	compareValue(l, "retries in percent of requests", before.RetryPercent, after.RetryPercent)
 	compareHedges(l, before.HedgePercent, after.HedgePercent)
-	value(l, "requests that may wait at each target", before.Queue, after.Queue)
-	value(l, "the order of those that wait", before.QueueOrder, after.QueueOrder)
-	value(l, "fewer requests at once while a backend server is slow", before.Adaptive, after.Adaptive)
+	compareValue(l, "requests that may wait at each target", before.Queue, after.Queue)
+	compareValue(l, "the order of those that wait", before.QueueOrder, after.QueueOrder)
+	compareValue(l, "fewer requests at once while a backend server is slow", before.Adaptive, after.Adaptive)
 	if after.NoRefusal && !before.NoRefusal {
 		l.warnf("targets no longer refuse what they can't run in time: requests wait until their deadline")
 	}
 	if before.NoRefusal && !after.NoRefusal {
 		l.notef("targets refuse again what they can't run in time")
 	}
-	limit(l, "", before.InFlight, after.InFlight)
-	value(l, "drain time", before.Drain, after.Drain)
+	compareLimit(l, "", before.InFlight, after.InFlight)
+	compareValue(l, "drain time", before.Drain, after.Drain)
 	if after.KeyLifetime < before.KeyLifetime {
-		l.warnf("the life of callers' keys falls from %v to %v: an older key sent again is no longer known", before.KeyLifetime, after.KeyLifetime)
+		l.warnf("the lifetime of callers' keys falls from %v to %v: an older key sent again is no longer known", before.KeyLifetime, after.KeyLifetime)
 	} else {
-		value(l, "the life of callers' keys", before.KeyLifetime, after.KeyLifetime)
+		compareValue(l, "the lifetime of callers' keys", before.KeyLifetime, after.KeyLifetime)
 	}
 	compareRoutes(l, before, after)
 	compareTargets(l, before.Targets, after.Targets)
 }
 
-func compareHedges(l *list, before, after int) {
+func compareHedges(l *changeList, before, after int) {
 	switch {
 	case before == 0 && after != 0:
 		l.notef("idempotent requests that are slow are sent to a second target as well, up to %d in 100", after)
 	case before != 0 && after == 0:
 		l.notef("idempotent requests that are slow are no longer sent to a second target")
 	default:
-		value(l, "slow idempotent requests that are sent to a second target, in percent", before, after)
+		compareValue(l, "slow idempotent requests that are sent to a second target, in percent", before, after)
 	}
 }
 
-func compareHosts(l *list, before, after []string) {
+func compareHosts(l *changeList, before, after []string) {
 	for _, h := range before {
 		if !slices.Contains(after, h) {
 			l.warnf("host %s no longer selects the service", h)
@@ -222,7 +222,7 @@
 	}
 }
 
-func compareTargets(l *list, before, after []fleet.Target) {
+func compareTargets(l *changeList, before, after []fleet.Target) {
 	old := map[string]fleet.Target{}
 	for _, t := range before {
 		old[t.VM] = t
@@ -235,34 +235,34 @@
 			added = append(added, t.VM)
 			continue
 		}
-		value(l, "target "+t.VM+": availability zone", b.Zone, t.Zone)
-		value(l, "target "+t.VM+": slots", b.Slots, t.Slots)
-		value(l, "target "+t.VM+": connections", b.Connections, t.Connections)
+		compareValue(l, "target "+t.VM+": availability zone", b.Zone, t.Zone)
+		compareValue(l, "target "+t.VM+": slots", b.Slots, t.Slots)
+		compareValue(l, "target "+t.VM+": connections", b.Connections, t.Connections)
 	}
 	gone := slices.Sorted(maps.Keys(old))
 	if len(added) > 0 {
-		l.notef("new targets: %s", names(added))
+		l.notef("new targets: %s", joinNames(added))
 	}
 	if len(gone) > 0 {
-		l.notef("targets that are gone: %s", names(gone))
+		l.notef("targets that are gone: %s", joinNames(gone))
 	}
 	if len(added)+len(gone) > 0 {
-		l.notef("callers' own keys may get another home, since homes are chosen among the declared targets")
+		l.notef("callers' own keys may be assigned to another target, since each key is assigned to one of the declared targets")
 	}
 }
 
-// maxNames bounds the names in one line.
-const maxNames = 8
+// maxListedNames is the maximum number of names listed in one line.
+const maxListedNames = 8
 
-func names(all []string) string {
+func joinNames(all []string) string {
 	slices.SortFunc(all, cmp.Compare[string])
-	if len(all) <= maxNames {
+	if len(all) <= maxListedNames {
 		return strings.Join(all, ", ")
 	}
-	return strings.Join(all[:maxNames], ", ") + fmt.Sprintf(" and %d more", len(all)-maxNames)
+	return strings.Join(all[:maxListedNames], ", ") + fmt.Sprintf(" and %d more", len(all)-maxListedNames)
 }
 
-func vms(targets []fleet.Target) []string {
+func vmNames(targets []fleet.Target) []string {
 	list := make([]string, len(targets))
 	for i, t := range targets {
 		list[i] = t.VM
--- a/internal/diff/diff_test.go
+++ b/internal/diff/diff_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func whole(t *testing.T, f fleet.Fleet) *config.Config {
+func assembled(t *testing.T, f fleet.Fleet) *config.Config {
 	t.Helper()
 	pub, err := f.Print()
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 			"note: fleet: revision rises from 7 to 8",
 			"warning: orders: OTHER,POST /orders/* goes from at most once to idempotent: requests may be repeated",
 		}},
-		"a rule before it takes a booking": {func(f *fleet.Fleet, s *fleet.Service) {
+		"an earlier route now matches a booking": {func(f *fleet.Fleet, s *fleet.Service) {
 			f.Revision = 8
 			s.Routes[0].Methods = []string{"GET", "POST"}
 			s.Routes = append(s.Routes[:1], s.Routes[2])
@@ -87,7 +87,7 @@
 			"note: fleet: team store: requests at once at each node go from no limit to 40",
 			"note: orders: deadline of requests that bring none goes from 5s to 1s",
 			"warning: orders: the longest deadline falls from 10m0s to 1m0s: longer ones are cut to it",
-			"warning: orders: the life of callers' keys falls from 10m0s to 1m0s: an older key sent again is no longer known",
+			"warning: orders: the lifetime of callers' keys falls from 10m0s to 1m0s: an older key sent again is no longer known",
 			"note: orders: route confirm: requests at once at each node go from no limit to 5",
 			"note: orders: target orders-1: slots goes from 6 to 7",
 		}},
@@ -117,7 +117,7 @@
 			"note: orders: host other.example selects the service",
 			"note: orders: new targets: orders-3",
 			"note: orders: targets that are gone: orders-2",
-			"note: orders: callers' own keys may get another home, since homes are chosen among the declared targets",
+			"note: orders: callers' own keys may be assigned to another target, since each key is assigned to one of the declared targets",
 		}},
 		"services": {func(f *fleet.Fleet, s *fleet.Service) {
 			f.Revision, s.Name, s.Hosts = 8, "sales", nil
@@ -133,7 +133,7 @@
 			after := shop()
 			test.change(&after, &after.Services[0])
 			var got []string
-			for _, c := range diff.Compare(whole(t, shop()), whole(t, after)) {
+			for _, c := range diff.Compare(assembled(t, shop()), assembled(t, after)) {
 				got = append(got, c.String())
 			}
 			require.Equal(t, test.want, got)
