--- a/fleet/check.go
+++ b/fleet/check.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Limits on what a declaration may hold.
+// Limits of a declaration.
 const (
-	// MaxDocument is the largest document the platform holds, in bytes.
+	// MaxDocument is the maximum size of a document on the platform, in bytes.
 	MaxDocument = 1 << 20
 
 	maxHops        = 8
@@ -27,31 +27,31 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// Faults is everything wrong with a declaration, one line each.
+// Faults lists every error in a declaration, one line each.
 type Faults []string
 
-// Error lists the faults, one a line.
+// Error returns the faults, one per line.
 func (fs Faults) Error() string { return strings.Join(fs, "\n") }
 
 func (fs *Faults) addf(format string, args ...any) {
 	*fs = append(*fs, fmt.Sprintf(format, args...))
 }
 
-// err gives the faults as an error, or nil when there are none.
-func (fs Faults) err() error {
+// asError returns the faults as an error, or nil if there are none.
+func (fs Faults) asError() error {
 	if len(fs) == 0 {
 		return nil
 	}
 	return fs
 }
 
-// Check returns Faults with every fault of the declaration, or nil.
-// Defaults should be filled in first.
-func (f Fleet) Check() error { return f.faults().err() }
+// Check returns Faults with every error in the declaration, or nil. It does not
+// apply defaults; call it on the result of WithDefaults.
+func (f Fleet) Check() error { return f.faults().asError() }
 
 func (f Fleet) faults() Faults {
 	var fs Faults
-	fs.name("fleet", f.Name)
+	fs.checkName("fleet", f.Name)
 	if f.Revision == 0 {
 		fs.addf("fleet %s: revision must be 1 or more", f.Name)
 	}
@@ -63,22 +63,22 @@
 	return fs
 }
 
-func (fs *Faults) name(what, name string) {
+func (fs *Faults) checkName(what, name string) {
 	if !namePattern.MatchString(name) {
 		fs.addf("%s %q: a name has lower-case letters, digits, '-' and '.', at most 63", what, name)
 	}
 }
 
-// unique reports names that are the same or differ only in case.
-func (fs *Faults) unique(what string, names []string) {
+// checkUnique adds a fault for each name that equals an earlier one, ignoring case.
+func (fs *Faults) checkUnique(what string, names []string) {
 	seen := map[string]string{}
 	for _, n := range names {
-		low := strings.ToLower(n)
-		if first, ok := seen[low]; ok {
+		lower := strings.ToLower(n)
+		if first, ok := seen[lower]; ok {
 			fs.addf("%s %q: declared twice (as %q)", what, n, first)
 			continue
 		}
-		seen[low] = n
+		seen[lower] = n
 	}
 }
 
@@ -115,15 +115,15 @@
 	}
 	names := make([]string, 0, len(f.Zones))
 	for _, z := range f.Zones {
-		fs.name("zone", z.Name)
-		fs.name("region", z.Region)
+		fs.checkName("zone", z.Name)
+		fs.checkName("region", z.Region)
 		names = append(names, z.Name)
 		if len(f.Regions) > 0 && !slices.Contains(f.Regions, z.Region) {
 			fs.addf("zone %s: region %q is not declared", z.Name, z.Region)
 		}
 	}
-	fs.unique("zone", names)
-	fs.unique("region", f.Regions)
+	fs.checkUnique("zone", names)
+	fs.checkUnique("region", f.Regions)
 	for _, r := range f.Regions {
 		if !slices.ContainsFunc(f.Zones, func(z Zone) bool { return z.Region == r }) {
 			fs.addf("region %s: no availability zone is declared in it", r)
@@ -132,28 +132,28 @@
 	f.checkRegionCase(fs)
 }
 
-// checkRegionCase finds zones whose regions differ only in case: a typing error
-// that would split a region in two.
+// checkRegionCase adds a fault for zones whose regions differ only in case, a typing
+// error that would split a region in two.
 func (f Fleet) checkRegionCase(fs *Faults) {
-	spelt := map[string]string{}
+	spelling := map[string]string{}
 	for _, z := range f.Zones {
-		low := strings.ToLower(z.Region)
-		if first, ok := spelt[low]; ok && first != z.Region {
+		lower := strings.ToLower(z.Region)
+		if first, ok := spelling[lower]; ok && first != z.Region {
 			fs.addf("zone %s: region %q differs only in case from %q", z.Name, z.Region, first)
 			continue
 		}
-		spelt[low] = z.Region
+		spelling[lower] = z.Region
 	}
 }
 
 func (f Fleet) checkTeams(fs *Faults) {
 	names := make([]string, 0, len(f.Teams))
 	for _, t := range f.Teams {
-		fs.name("team", t.Name)
-		within(fs, "team "+t.Name, "in-flight", t.InFlight, 0, maxInFlight)
+		fs.checkName("team", t.Name)
+		checkRange(fs, "team "+t.Name, "in-flight", t.InFlight, 0, maxInFlight)
 		names = append(names, t.Name)
 	}
-	fs.unique("team", names)
+	fs.checkUnique("team", names)
 }
 
 func (f Fleet) checkServices(fs *Faults) {
@@ -166,9 +166,9 @@
 		}
 		f.checkService(fs, s)
 	}
-	fs.unique("service", names)
-	fs.unique("host", hosts)
-	fs.unique("target", vms)
+	fs.checkUnique("service", names)
+	fs.checkUnique("host", hosts)
+	fs.checkUnique("target", vms)
 	for _, s := range f.Services {
 		for _, h := range s.Hosts {
 			if h != s.Name && slices.Contains(names, h) {
@@ -190,7 +190,7 @@
 	*fs = append(*fs, s.faults()...)
 }
 
-func within[T int | time.Duration](fs *Faults, where, key string, v, low, high T) {
+func checkRange[T int | time.Duration](fs *Faults, where, key string, v, low, high T) {
 	if v < low || v > high {
 		fs.addf("%s: %s %v is out of range (allowed: %v to %v)", where, key, v, low, high)
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,26 +1,26 @@
-// Package fleet lets operators declare a deployment in Go: regions,
-// availability zones, teams, services, their targets and the rules of their
-// routes. A declaration is checked as a whole and printed as configuration
-// documents, byte for byte the same for the same declaration, which operators
-// review, version and publish by their own means.
+// Package fleet lets operators declare a deployment in Go: regions, availability
+// zones, teams, services, their targets and their routes. A declaration is checked
+// as a whole and printed as configuration documents, which operators review,
+// version and publish with their own tools. The same declaration always yields the
+// same bytes.
 //
-// Values of this package are plain data. They aren't safe for concurrent use.
+// Values of this package are plain data and aren't safe for concurrent use.
 package fleet
 
 import "time"
 
 // Fleet is the declaration of a whole deployment.
 type Fleet struct {
-	// Name is the deployment's name; nodes of another fleet are refused.
+	// Name is the name of the deployment; nodes of another fleet are refused.
 	Name string
-	// Revision orders configurations: nodes only ever go to a higher one.
+	// Revision orders configurations: nodes apply only a higher one.
 	Revision uint64
-	// Ports are the ports that every node listens on, next to its VM's IP.
+	// Ports are the ports that every node listens on, at its VM's IP.
 	Ports Ports
-	// Budget bounds what measuring load may cost, for each node.
+	// Budget limits the traffic for measuring load, per node.
 	Budget Budget
-	// Regions names the regions, so that one without zones is found; empty
-	// means those that the zones name.
+	// Regions are the names of the regions. If set, a region without zones and a zone
+	// of an unlisted region are errors; empty means the regions of the zones.
 	Regions []string
 	Zones   []Zone
 	Teams   []Team
@@ -28,19 +28,19 @@
 	Services []Service
 }
 
-// Ports are the ports that nodes use among themselves.
+// Ports are the ports that nodes use to communicate with each other.
 type Ports struct {
 	Guard, Control int
 }
 
-// Budget bounds the cost of measuring load, for each node and second. The zero
-// value means the defaults; a budget with only a part at zero is refused.
+// Budget limits the traffic for measuring load, per node and second. The zero value
+// means the defaults; a budget in which only some fields are zero is refused.
 type Budget struct {
-	// Requests is measuring requests per second.
+	// Requests is the maximum number of measuring requests per second.
 	Requests int
-	// Bytes is bytes per second of all measuring traffic sent.
+	// Bytes is the maximum measuring traffic sent, in bytes per second.
 	Bytes int
-	// CrossRegionBytes is the part of Bytes that may cross regions.
+	// CrossRegionBytes is the part of Bytes that may be sent to other regions.
 	CrossRegionBytes int
 }
 
@@ -49,88 +49,92 @@
 	Name, Region string
 }
 
-// Team owns services and has limits of its own.
+// Team owns services; its limits apply to all of them together.
 type Team struct {
 	Name string
-	// InFlight bounds the team's requests in flight at each node; 0 means no limit.
+	// InFlight limits the team's requests in flight at each node; 0 means no limit.
 	InFlight int
 }
 
-// Service is a set of targets that answer the same requests. Zero means the
-// default for policy, timeouts, hops, retry share, queue, drain and key lifetime.
+// Service is a set of targets that serve the same requests. Zero values of Policy,
+// Timeout, MaxTimeout, Hops, RetryPercent, Queue, QueueOrder, Drain and KeyLifetime
+// mean the defaults.
 type Service struct {
 	Name string
-	// Hosts are Host names that select the service besides its own name.
+	// Hosts are the Host values that select the service, in addition to its name.
 	Hosts []string
 	Team  string
-	// Policy is how an entry chooses a target; empty means DefaultPolicy.
+	// Policy is how an entry selects a target; empty means DefaultPolicy.
 	Policy string
-	// Timeout is the deadline of a request that brings none.
+	// Timeout is the deadline of a request that does not set one.
 	Timeout time.Duration
-	// MaxTimeout bounds the deadlines that callers may ask for.
+	// MaxTimeout is the maximum deadline that callers may set.
 	MaxTimeout time.Duration
-	// Hops bounds how many targets one request may be offered to.
+	// Hops is the maximum number of targets that one request may be sent to.
 	Hops int
 	// RetryPercent is the retry budget as a share of requests, in percent.
 	RetryPercent int
-	// HedgePercent bounds hedged requests, as a share of requests in percent: an
-	// idempotent request that takes longer than 95 of 100 did lately is sent to a
-	// second target as well, and the first answer holds. 0 is none. It must stay 0
-	// where idempotent requests call other services: a copy would repeat those calls too.
+	// HedgePercent limits hedged requests, as a share of requests in percent: an
+	// idempotent request that takes longer than 95 of 100 recent ones is also sent to
+	// a second target, and the first answer is used. 0 disables hedging. It must be 0
+	// if idempotent requests call other services, since the copy would repeat those
+	// calls too.
 	HedgePercent int
-	// Queue bounds the requests that wait at each target.
+	// Queue is the maximum number of requests queued at each target.
 	Queue int
-	// QueueOrder is who of those that wait runs next; empty means DefaultQueueOrder.
+	// QueueOrder is the order in which queued requests run; empty means
+	// DefaultQueueOrder.
 	QueueOrder string
-	// Adaptive lets targets run fewer requests at once than their slots while
-	// their backend servers are slower than usual. It must stay off where
-	// requests call other services: the wait for those looks like slowness.
+	// Adaptive reduces the concurrency of a target below its slots while its backend
+	// server is slower than usual. It must be off if requests call other services,
+	// because the time spent waiting for those would be taken for slowness.
 	Adaptive bool
-	// NoRefusal makes targets queue what they would refuse. It exists to measure
-	// what refusal is worth; without refusal nothing bounds a request's wait but
-	// its deadline.
+	// NoRefusal makes targets queue requests that they would otherwise refuse. It is
+	// for comparison measurements only: without refusal, a request's queueing time is
+	// limited only by its deadline.
 	NoRefusal bool
-	// InFlight bounds the service's requests in flight at each node; 0 means no limit.
+	// InFlight limits the service's requests in flight at each node; 0 means no limit.
 	InFlight int
-	// Drain bounds how long a node of the service that stops lets requests in
-	// flight finish. The node's own stop limit holds when it is shorter.
+	// Drain is how long a stopping node of the service waits for requests in flight.
+	// The stop limit in the node's settings applies if it is shorter.
 	Drain time.Duration
-	// KeyLifetime is how long a caller may send an idempotency key of its own again.
+	// KeyLifetime is how long a caller may reuse an idempotency key that it chose
+	// itself to retry a request.
 	KeyLifetime time.Duration
 	Routes      []Route
 	Targets     []Target
 }
 
-// Route is a rule for some of a service's requests. The first route that
-// matches holds; a request that no route matches is at most once.
+// Route defines how some of a service's requests are handled. The first matching
+// route applies; a request that matches no route runs at most once.
 type Route struct {
 	Name string
-	// Methods the route is for; empty means every method.
+	// Methods are the methods that the route matches; empty means every method.
 	Methods []string
-	// Path is an exact path, or a prefix when it ends in "*".
+	// Path is an exact path, or a prefix if it ends in "*".
 	Path string
-	// Idempotent says that requests may be repeated. Otherwise they run at most once.
+	// Idempotent allows requests to run more than once. Otherwise they run at most once.
 	Idempotent bool
-	// Retries is how many other targets an idempotent request may be offered to;
-	// 0 means one less than the service's Hops. A route that runs at most once
-	// has none: it goes on only on proof that it was not run.
+	// Retries is how many other targets an idempotent request may be sent to; 0 means
+	// one less than the service's Hops. It must be 0 if requests run at most once:
+	// those are sent to another target only after proof that they were not run.
 	Retries int
-	// Class orders requests under overload: a higher class is refused later. 0 to 9.
+	// Class is the priority under overload, from 0 to 9: a higher class is refused later.
 	Class int
-	// InFlight bounds the route's requests in flight at each node; 0 means no limit.
+	// InFlight limits the route's requests in flight at each node; 0 means no limit.
 	InFlight int
 }
 
-// Target is a backend server as declared: the VM it stands on and its capacity.
+// Target is the declaration of a backend server: its VM and its capacity.
 type Target struct {
 	VM, Zone string
-	// Slots is how many requests the backend server runs at once.
+	// Slots is how many requests the backend server runs concurrently.
 	Slots int
 	// Connections is how many connections the backend server accepts.
 	Connections int
 }
 
-// The policies that choose a target.
+// The policies for target selection.
 const (
 	PolicyRandom     = "random"
 	PolicyRoundRobin = "round-robin"
@@ -140,24 +144,24 @@
 	PolicyIdleHints  = "idle-hints"
 	PolicyProbe      = "probe"
 
-	// DefaultPolicy is used where a service names none. docs/design/routing.md
-	// has the measurement that decided it.
+	// DefaultPolicy is used if a service sets none. docs/design/routing.md compares
+	// the policies.
 	DefaultPolicy = PolicyLeastLoad
 )
 
-// The orders in which requests that wait at a target run.
+// The orders in which requests queued at a target run.
 const (
 	OrderFIFO = "fifo"
-	// OrderLIFO is first in first out until the queue has stood for a while,
-	// then last in first out.
+	// OrderLIFO is first in, first out until the queue has been non-empty for some
+	// time, then last in, first out.
 	OrderLIFO     = "lifo"
 	OrderDeadline = "deadline"
 
-	// DefaultQueueOrder is used where a service names none.
+	// DefaultQueueOrder is used if a service sets none.
 	DefaultQueueOrder = OrderFIFO
 )
 
-// Defaults for what a declaration leaves at zero.
+// Defaults for fields that a declaration leaves at zero.
 const (
 	DefaultTimeout      = 5 * time.Second
 	DefaultMaxTimeout   = 10 * time.Minute
@@ -174,7 +178,7 @@
 	DefaultCrossBytes   = 200
 )
 
-// WithDefaults returns a copy in which every default is filled in.
+// WithDefaults returns a copy in which defaults replace zero values.
 func (f Fleet) WithDefaults() Fleet {
 	if f.Ports == (Ports{}) {
 		f.Ports = Ports{Guard: DefaultGuardPort, Control: DefaultControlPort}
@@ -191,25 +195,25 @@
 }
 
 func (s Service) withDefaults() Service {
-	s.Policy = or(s.Policy, DefaultPolicy)
-	s.Timeout = or(s.Timeout, DefaultTimeout)
-	s.MaxTimeout = or(s.MaxTimeout, DefaultMaxTimeout)
-	s.Hops = or(s.Hops, DefaultHops)
-	s.RetryPercent = or(s.RetryPercent, DefaultRetryPercent)
-	s.Queue = or(s.Queue, DefaultQueue)
-	s.QueueOrder = or(s.QueueOrder, DefaultQueueOrder)
-	s.Drain = or(s.Drain, DefaultDrain)
-	s.KeyLifetime = or(s.KeyLifetime, DefaultKeyLifetime)
+	s.Policy = orDefault(s.Policy, DefaultPolicy)
+	s.Timeout = orDefault(s.Timeout, DefaultTimeout)
+	s.MaxTimeout = orDefault(s.MaxTimeout, DefaultMaxTimeout)
+	s.Hops = orDefault(s.Hops, DefaultHops)
+	s.RetryPercent = orDefault(s.RetryPercent, DefaultRetryPercent)
+	s.Queue = orDefault(s.Queue, DefaultQueue)
+	s.QueueOrder = orDefault(s.QueueOrder, DefaultQueueOrder)
+	s.Drain = orDefault(s.Drain, DefaultDrain)
+	s.KeyLifetime = orDefault(s.KeyLifetime, DefaultKeyLifetime)
 	targets := make([]Target, len(s.Targets))
 	for i, t := range s.Targets {
-		t.Connections = or(t.Connections, DefaultConnections)
+		t.Connections = orDefault(t.Connections, DefaultConnections)
 		targets[i] = t
 	}
 	s.Targets = targets
 	return s
 }
 
-func or[T comparable](v, fallback T) T {
+func orDefault[T comparable](v, fallback T) T {
 	var zero T
 	if v == zero {
 		return fallback
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// shop is a small declaration without faults.
+// shop returns a small valid declaration.
 func shop() fleet.Fleet {
 	return fleet.Fleet{
 		Name: "shop", Revision: 7, Regions: []string{"rs"},
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestWrongDeclarationsAreRefused(t *testing.T) {
+func TestPrintRefusesInvalidDeclarations(t *testing.T) {
 	type change = func(f *fleet.Fleet, s *fleet.Service)
 	long := strings.Repeat("x", 64)
 	tests := map[string]struct {
@@ -112,10 +112,10 @@
 	}
 }
 
-// An operator prints a declaration with several faults, mends the one that was
-// shown, and is shown the next. All of them must be listed at once, the length
-// of a document among them.
-func TestEveryFaultIsListedAtOnce(t *testing.T) {
+// All errors in a declaration must be reported at once, including the size of a
+// document. Otherwise an operator would have to fix them one by one, with a run of
+// the program for each.
+func TestPrintReportsAllFaults(t *testing.T) {
 	f := shop()
 	f.Revision = 0
 	f.Regions = append(f.Regions, "sc")
@@ -129,7 +129,7 @@
 	require.Len(t, faults, 4, err)
 }
 
-func TestZeroInADocumentIsNoDefault(t *testing.T) {
+func TestCheckRefusesZeroWithoutDefaults(t *testing.T) {
 	s := shop().WithDefaults().Services[0]
 	s.Timeout, s.MaxTimeout, s.KeyLifetime, s.Hops = 0, 0, 0, 0
 	var faults fleet.Faults
@@ -137,10 +137,10 @@
 	require.Len(t, faults, 4)
 }
 
-// A declaration is often built from maps, whose order changes from run to run.
-// Where order means nothing the documents must not change with it; the order of
-// routes means something and is kept.
-func TestPrintingIsTheSameInAnyOrder(t *testing.T) {
+// A declaration is often built from maps, whose iteration order is random. The
+// documents must not depend on the order of zones, teams, services, hosts and
+// targets. The order of routes is significant and is kept.
+func TestPrintDoesNotDependOnDeclarationOrder(t *testing.T) {
 	want := printed(t, deployments.Large(1))
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 3 {
@@ -190,7 +190,7 @@
 		{"GET", "/read/a.b/.c", "read"},
 		{"GET", "/read", ""},
 		{"DELETE", "/any/x", "any"},
-		// Servers read these as other paths than they look like.
+		// Servers may normalize these to other paths.
 		{"GET", "/read/../orders/confirm", ""},
 		{"GET", "/read/..", ""},
 		{"GET", "/read/./x", ""},
--- a/fleet/print.go
+++ b/fleet/print.go
@@ -13,32 +13,32 @@
 	"gopkg.in/ini.v1"
 )
 
-// IndexKey is the platform key under which the index is published.
+// IndexKey is the platform key of the index document.
 const IndexKey = "index"
 
-// Document is one value to be published on the platform.
+// Document is one value to publish on the platform.
 type Document struct {
-	// Key is the name under which the platform holds the value. Keys of service
-	// documents hold their digest, so publishing never overwrites one in use.
+	// Key is the platform key of the document. Keys of service documents contain the
+	// digest, so publishing never overwrites a document in use.
 	Key  string
 	Text []byte
 }
 
-// Publication is a printed configuration. Operators publish Services first
-// and Index last, so that whoever sees the index finds what it names.
+// Publication is a printed configuration. Operators publish Services first and Index
+// last, so that all documents listed in a visible index exist.
 type Publication struct {
 	Index    Document
 	Services []Document
 }
 
-// Print checks the declaration and prints its documents. The error is Faults
-// with everything that is wrong, documents that are too long among it.
+// Print applies defaults, checks the declaration and prints its documents. The error
+// for an invalid declaration is Faults, which also lists documents that are too large.
 func (f Fleet) Print() (*Publication, error) {
 	f = f.WithDefaults()
 	faults := f.faults()
 	f = f.sorted()
 	pub := &Publication{}
-	index := f.index()
+	index := f.indexFile()
 	for _, s := range f.Services {
 		doc, err := s.document(&faults)
 		if err != nil {
@@ -46,22 +46,22 @@
 		}
 		pub.Services = append(pub.Services, doc)
 		sum := sha256.Sum256(doc.Text)
-		section(index, "document "+s.Name, "",
-			pair{"key", doc.Key, ""}, num("size", len(doc.Text), ""), pair{"sha256", hex.EncodeToString(sum[:]), ""})
+		addSection(index, "document "+s.Name, "",
+			pair{"key", doc.Key, ""}, intPair("size", len(doc.Text), ""), pair{"sha256", hex.EncodeToString(sum[:]), ""})
 	}
 	text, err := render("index", index, &faults)
 	if err != nil {
 		return nil, err
 	}
 	pub.Index = Document{Key: IndexKey, Text: text}
-	if err := faults.err(); err != nil {
+	if err := faults.asError(); err != nil {
 		return nil, err
 	}
 	return pub, nil
 }
 
-// sorted gives a copy in which everything whose order means nothing is ordered
-// by name, so that a declaration built from maps prints the same each time.
+// sorted returns a copy in which all lists whose order is not significant are sorted
+// by name, so that a declaration built from maps always prints the same documents.
 func (f Fleet) sorted() Fleet {
 	f.Zones = sortedBy(f.Zones, func(z Zone) string { return z.Name })
 	f.Teams = sortedBy(f.Teams, func(t Team) string { return t.Name })
@@ -79,12 +79,12 @@
 	})
 }
 
-// pair is one key of a section, with a comment that gives its unit.
+// pair is one key of a section, with an optional comment that explains it.
 type pair struct{ key, value, comment string }
 
-// section adds a section; empty values are left out.
-func section(doc *ini.File, name, comment string, pairs ...pair) {
-	// The library refuses only an empty name, and Check a name that is one.
+// addSection adds a section to doc; it omits keys with empty values.
+func addSection(doc *ini.File, name, comment string, pairs ...pair) {
+	// NewSection fails only for an empty name, which Check refuses.
 	s, err := doc.NewSection(name)
 	if err != nil {
 		return
@@ -111,34 +111,34 @@
 	return out.Bytes(), nil
 }
 
-func (f Fleet) index() *ini.File {
+func (f Fleet) indexFile() *ini.File {
 	doc := ini.Empty()
-	section(doc, "index", "; revisions only ever rise; a node refuses a lower one",
+	addSection(doc, "index", "; revisions only ever rise; a node refuses a lower one",
 		pair{"revision", strconv.FormatUint(f.Revision, 10), ""}, pair{"fleet", f.Name, ""})
-	section(doc, "ports", "; TCP ports of every node, next to its VM's IP",
-		num("guard", f.Ports.Guard, ""), num("control", f.Ports.Control, ""))
-	section(doc, "budget", "; measuring load, for each node: per second, bytes as sent",
-		num("requests", f.Budget.Requests, ""), num("bytes", f.Budget.Bytes, ""),
-		num("cross-region-bytes", f.Budget.CrossRegionBytes, "; the part of bytes that may cross regions"))
+	addSection(doc, "ports", "; TCP ports of every node, next to its VM's IP",
+		intPair("guard", f.Ports.Guard, ""), intPair("control", f.Ports.Control, ""))
+	addSection(doc, "budget", "; measuring load, for each node: per second, bytes as sent",
+		intPair("requests", f.Budget.Requests, ""), intPair("bytes", f.Budget.Bytes, ""),
+		intPair("cross-region-bytes", f.Budget.CrossRegionBytes, "; the part of bytes that may cross regions"))
 	for _, z := range f.Zones {
-		section(doc, "zone "+z.Name, "", pair{"region", z.Region, ""})
+		addSection(doc, "zone "+z.Name, "", pair{"region", z.Region, ""})
 	}
 	for i, t := range f.Teams {
-		section(doc, "team "+t.Name, first(i, "; in-flight: requests at once at each node, 0 is no limit"),
-			num("in-flight", t.InFlight, ""))
+		addSection(doc, "team "+t.Name, ifFirst(i, "; in-flight: requests at once at each node, 0 is no limit"),
+			intPair("in-flight", t.InFlight, ""))
 	}
 	return doc
 }
 
 func (s Service) document(faults *Faults) (Document, error) {
 	doc := ini.Empty()
-	section(doc, "service", "; durations have units: ms, s, m, h", s.pairs()...)
+	addSection(doc, "service", "; durations have units: ms, s, m, h", s.pairs()...)
 	for i, r := range s.Routes {
-		section(doc, "route "+r.Name, first(i, routeComment), r.pairs()...)
+		addSection(doc, "route "+r.Name, ifFirst(i, routeComment), r.pairs()...)
 	}
 	for i, t := range s.Targets {
-		section(doc, "target "+t.VM, first(i, "; slots: requests run at once; connections: accepted at once"),
-			pair{"zone", t.Zone, ""}, num("slots", t.Slots, ""), num("connections", t.Connections, ""))
+		addSection(doc, "target "+t.VM, ifFirst(i, "; slots: requests run at once; connections: accepted at once"),
+			pair{"zone", t.Zone, ""}, intPair("slots", t.Slots, ""), intPair("connections", t.Connections, ""))
 	}
 	text, err := render("service "+s.Name, doc, faults)
 	if err != nil {
@@ -161,28 +161,28 @@
 		{"hosts", strings.Join(s.Hosts, ","), ""},
 		{"team", s.Team, ""},
 		{"policy", s.Policy, ""},
-		dur("timeout", s.Timeout, "; the deadline of a request that brings none"),
-		dur("max-timeout", s.MaxTimeout, "; the longest deadline a caller may ask for"),
-		num("hops", s.Hops, "; targets that one request may be offered to"),
-		num("retry-percent", s.RetryPercent, "; retries as a share of requests, in percent"),
+		durationPair("timeout", s.Timeout, "; the deadline of a request that brings none"),
+		durationPair("max-timeout", s.MaxTimeout, "; the longest deadline a caller may ask for"),
+		intPair("hops", s.Hops, "; targets that one request may be offered to"),
+		intPair("retry-percent", s.RetryPercent, "; retries as a share of requests, in percent"),
 		{"hedge-percent", hedges, "; slow reads sent to a second target too, in percent of requests"},
-		num("queue", s.Queue, "; requests that may wait at each target"),
+		intPair("queue", s.Queue, "; requests that may wait at each target"),
 		{"queue-order", s.QueueOrder, "; who of them runs next: fifo, lifo (newest first once the queue stands) or deadline"},
 		{"adaptive", onOff(s.Adaptive), "; on runs fewer requests at once while a backend server is slow"},
 		{"refusal", onOff(!s.NoRefusal), "; off queues what would be refused; for comparison only"},
-		num("in-flight", s.InFlight, "; requests at once at each node, 0 is no limit"),
-		dur("drain", s.Drain, "; how long a stopping node lets requests in flight finish"),
-		dur("key-lifetime", s.KeyLifetime, "; how long a caller may send a key of its own again"),
+		intPair("in-flight", s.InFlight, "; requests at once at each node, 0 is no limit"),
+		durationPair("drain", s.Drain, "; how long a stopping node lets requests in flight finish"),
+		durationPair("key-lifetime", s.KeyLifetime, "; how long a caller may send a key of its own again"),
 	}
 }
 
-// The words by which a document says how a route's requests run.
+// The values of the key "runs" of a route in a document.
 const (
 	RunsIdempotent = "idempotent"
 	RunsAtMostOnce = "at-most-once"
 )
 
-// Runs says how the route's requests run, in the word of the documents.
+// Runs returns RunsIdempotent or RunsAtMostOnce, as documents contain it.
 func (r Route) Runs() string {
 	if r.Idempotent {
 		return RunsIdempotent
@@ -197,13 +197,13 @@
 		{"runs", r.Runs(), ""},
 	}
 	if r.Retries != 0 {
-		pairs = append(pairs, num("retries", r.Retries, "; other targets after the first"))
+		pairs = append(pairs, intPair("retries", r.Retries, "; other targets after the first"))
 	}
-	return append(pairs, num("class", r.Class, ""), num("in-flight", r.InFlight, ""))
+	return append(pairs, intPair("class", r.Class, ""), intPair("in-flight", r.InFlight, ""))
 }
 
-// first gives the comment for the first section of a kind only.
-func first(i int, comment string) string {
+// ifFirst returns comment for the first section of a kind, and "" for all others.
+func ifFirst(i int, comment string) string {
 	if i > 0 {
 		return ""
 	}
@@ -217,6 +217,8 @@
 	return "off"
 }
 
-func num(key string, v int, comment string) pair { return pair{key, strconv.Itoa(v), comment} }
+func intPair(key string, v int, comment string) pair { return pair{key, strconv.Itoa(v), comment} }
 
-func dur(key string, v time.Duration, comment string) pair { return pair{key, v.String(), comment} }
+func durationPair(key string, v time.Duration, comment string) pair {
+	return pair{key, v.String(), comment}
+}
--- a/fleet/publication_test.go
+++ b/fleet/publication_test.go
@@ -15,7 +15,7 @@
 	"github.com/limpetdock/limpetdock/internal/config"
 )
 
-func TestTheTargetSizeIsPrinted(t *testing.T) {
+func TestOperatorPageStatesDocumentSizes(t *testing.T) {
 	f := deployments.Large(1)
 	pub, err := f.Print()
 	require.NoError(t, err)
@@ -32,9 +32,9 @@
 	require.Contains(t, string(page), row, "the page states the sizes in bytes")
 }
 
-// Goldens are what the examples print. A change of them is a change of every
-// operator's documents: it must be meant. UPDATE=1 writes them anew.
-func TestExamplesPrintTheirGoldens(t *testing.T) {
+// The goldens are the documents printed by the examples. A change to them changes the
+// documents of every operator, so it must be intended. UPDATE=1 rewrites them.
+func TestExamplesMatchGoldens(t *testing.T) {
 	for name, declare := range map[string]func(uint64) fleet.Fleet{
 		"cestaviva": deployments.CestaViva, "eisbruecke": deployments.Eisbruecke, "shop": func(uint64) fleet.Fleet { return shop() },
 	} {
@@ -51,9 +51,9 @@
 	}
 }
 
-// What is printed, written into a directory or a stream, and parsed as a node
-// does must be the declaration again, or a rule would be lost on the way.
-func TestADeclarationSurvivesPrintingAndParsing(t *testing.T) {
+// Documents written to a directory or a stream and parsed as by a node must equal the
+// declaration. Otherwise a rule would be lost.
+func TestParsedDocumentsEqualDeclaration(t *testing.T) {
 	hedged := shop()
 	hedged.Services[0].HedgePercent = 5
 	for _, f := range []fleet.Fleet{shop(), hedged, deployments.CestaViva(3), deployments.Eisbruecke(4)} {
@@ -85,17 +85,17 @@
 	}
 }
 
-func TestSplitRefuses(t *testing.T) {
+func TestSplitRefusesInvalidStreams(t *testing.T) {
 	for text, want := range map[string]string{
 		"revision = 1\n":                     "before the first document",
-		"; key: a\nx = 1\n; key: a\nx = 2\n": "document a stands there twice",
+		"; key: a\nx = 1\n; key: a\nx = 2\n": "document a appears twice",
 	} {
 		_, err := fleet.Split([]byte(text))
 		require.ErrorContains(t, err, want)
 	}
 }
 
-func TestAnExampleRunsAsAProgram(t *testing.T) {
+func TestExampleProgramArguments(t *testing.T) {
 	run := func(args ...string) (int, string, string) {
 		var out, errOut strings.Builder
 		code := deployments.Main("eisbruecke", deployments.Eisbruecke, args, &out, &errOut)
--- a/fleet/service.go
+++ b/fleet/service.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// pathPattern is what a route's path may hold: the characters of URL paths
-// (RFC 3986, section 3.3) that INI keeps as they are. A '%' is left out because
+// pathPattern matches the paths allowed in routes: the characters of URL paths
+// (RFC 3986, section 3.3) that need no quoting in INI. '%' is not allowed because
 // routes are matched against the decoded path.
 var pathPattern = regexp.MustCompile(`^/[A-Za-z0-9/._~!$&'()+,=:@-]*\*?$`)
 
-// methodPattern is an HTTP method in upper case (RFC 9110, section 9.1).
+// methodPattern matches an HTTP method in upper case (RFC 9110, section 9.1).
 var methodPattern = regexp.MustCompile(`^[A-Z][A-Z_-]{0,31}$`)
 
-// policies are the names a service's policy may have.
+// policies are the allowed values of a service's policy.
 var policies = []string{
 	PolicyRandom, PolicyRoundRobin, PolicyTwoChoices, PolicyTwoLoad, PolicyLeastLoad, PolicyIdleHints, PolicyProbe,
 }
 
-// queueOrders are the names a service's queue order may have.
+// queueOrders are the allowed values of a service's queue order.
 var queueOrders = []string{OrderFIFO, OrderLIFO, OrderDeadline}
 
-// Check returns Faults with what is wrong in the service by itself, or nil.
-func (s Service) Check() error { return s.faults().err() }
+// Check returns Faults with every error in the service that can be detected without
+// the rest of the fleet, or nil.
+func (s Service) Check() error { return s.faults().asError() }
 
 func (s Service) faults() Faults {
 	var fs Faults
-	fs.name("service", s.Name)
+	fs.checkName("service", s.Name)
 	for _, h := range s.Hosts {
-		fs.name("service "+s.Name+": host", h)
+		fs.checkName("service "+s.Name+": host", h)
 	}
 	s.checkNumbers(&fs)
 	s.checkRoutes(&fs)
@@ -46,16 +47,16 @@
 	if !slices.Contains(queueOrders, s.QueueOrder) {
 		fs.addf("%s: queue-order %q (allowed: %s)", where, s.QueueOrder, strings.Join(queueOrders, ", "))
 	}
-	within(fs, where, "max-timeout", s.MaxTimeout, time.Millisecond, maxTimeout)
-	within(fs, where, "timeout", s.Timeout, time.Millisecond, max(s.MaxTimeout, time.Millisecond))
-	within(fs, where, "key-lifetime", s.KeyLifetime, time.Second, maxKeyLifetime)
-	within(fs, where, "hops", s.Hops, 1, maxHops)
-	within(fs, where, "retry-percent", s.RetryPercent, 0, 100)
-	within(fs, where, "hedge-percent", s.HedgePercent, 0, 100)
-	within(fs, where, "queue", s.Queue, 0, maxQueue)
-	within(fs, where, "in-flight", s.InFlight, 0, maxInFlight)
-	// A document without a drain time leaves it to the node's settings.
-	within(fs, where, "drain", s.Drain, 0, maxDrain)
+	checkRange(fs, where, "max-timeout", s.MaxTimeout, time.Millisecond, maxTimeout)
+	checkRange(fs, where, "timeout", s.Timeout, time.Millisecond, max(s.MaxTimeout, time.Millisecond))
+	checkRange(fs, where, "key-lifetime", s.KeyLifetime, time.Second, maxKeyLifetime)
+	checkRange(fs, where, "hops", s.Hops, 1, maxHops)
+	checkRange(fs, where, "retry-percent", s.RetryPercent, 0, 100)
+	checkRange(fs, where, "hedge-percent", s.HedgePercent, 0, 100)
+	checkRange(fs, where, "queue", s.Queue, 0, maxQueue)
+	checkRange(fs, where, "in-flight", s.InFlight, 0, maxInFlight)
+	// 0 is allowed: a document without a drain time uses the node's settings.
+	checkRange(fs, where, "drain", s.Drain, 0, maxDrain)
 }
 
 func (s Service) checkRoutes(fs *Faults) {
@@ -63,7 +64,7 @@
 	for i, r := range s.Routes {
 		where := "service " + s.Name + ": route " + r.Name
 		names = append(names, r.Name)
-		fs.name("service "+s.Name+": route", r.Name)
+		fs.checkName("service "+s.Name+": route", r.Name)
 		r.check(fs, where)
 		for _, earlier := range s.Routes[:i] {
 			if earlier.covers(&r) {
@@ -72,11 +73,11 @@
 			}
 		}
 	}
-	fs.unique("service "+s.Name+": route", names)
+	fs.checkUnique("service "+s.Name+": route", names)
 }
 
 func (r Route) check(fs *Faults, where string) {
-	if !pathPattern.MatchString(r.Path) || !plain(r.Path) {
+	if !pathPattern.MatchString(r.Path) || !unambiguous(r.Path) {
 		fs.addf("%s: path %q (allowed: /exact or /prefix*, without '%%', '.' or empty segments)", where, r.Path)
 	}
 	for _, m := range r.Methods {
@@ -84,10 +85,10 @@
 			fs.addf("%s: method %q (allowed: upper-case methods)", where, m)
 		}
 	}
-	fs.unique(where+": method", r.Methods)
-	within(fs, where, "class", r.Class, 0, maxClass)
-	within(fs, where, "in-flight", r.InFlight, 0, maxInFlight)
-	within(fs, where, "retries", r.Retries, 0, maxHops-1)
+	fs.checkUnique(where+": method", r.Methods)
+	checkRange(fs, where, "class", r.Class, 0, maxClass)
+	checkRange(fs, where, "in-flight", r.InFlight, 0, maxInFlight)
+	checkRange(fs, where, "retries", r.Retries, 0, maxHops-1)
 	if !r.Idempotent && r.Retries != 0 {
 		fs.addf("%s: retries %d on a route that runs at most once (allowed: 0)", where, r.Retries)
 	}
@@ -99,21 +100,21 @@
 	}
 	for _, t := range s.Targets {
 		where := "service " + s.Name + ": target " + t.VM
-		fs.name("service "+s.Name+": target", t.VM)
-		within(fs, where, "slots", t.Slots, 1, maxSlots)
-		within(fs, where, "connections", t.Connections, 1, maxConnections)
+		fs.checkName("service "+s.Name+": target", t.VM)
+		checkRange(fs, where, "slots", t.Slots, 1, maxSlots)
+		checkRange(fs, where, "connections", t.Connections, 1, maxConnections)
 		if t.Connections < t.Slots {
 			fs.addf("%s: %d connections for %d slots", where, t.Connections, t.Slots)
 		}
 	}
 }
 
-// Match returns the first route that holds for a request, or nil; path is
-// decoded. A path that servers read in different ways matches no route, and so
-// runs at most once: otherwise /read/../confirm would be repeated under the
-// rule of /read/* by a server that runs it as /confirm.
+// Match returns the first route that matches a request, or nil; path is decoded. A
+// path that servers may interpret differently matches no route, so the request runs
+// at most once. Otherwise /read/../confirm would be retried according to /read/*
+// although a server may run it as /confirm.
 func (s *Service) Match(method, path string) *Route {
-	if !plain(path) {
+	if !unambiguous(path) {
 		return nil
 	}
 	for i := range s.Routes {
@@ -124,8 +125,8 @@
 	return nil
 }
 
-// HopsFor gives how many targets a request of a route may be offered to. The
-// route is nil for a request that no route matches.
+// HopsFor returns the maximum number of targets that a request of route r may be sent
+// to. r is nil for a request that matches no route.
 func (s *Service) HopsFor(r *Route) int {
 	if r == nil || r.Retries == 0 {
 		return s.Hops
@@ -143,7 +144,7 @@
 	return path == r.Path
 }
 
-// covers says whether r takes every request that other would take.
+// covers reports whether r matches every request that other matches.
 func (r *Route) covers(other *Route) bool {
 	for _, m := range other.Methods {
 		if len(r.Methods) > 0 && !slices.Contains(r.Methods, m) {
@@ -161,9 +162,10 @@
 	return strings.HasPrefix(otherPath, prefix)
 }
 
-// plain says that a path has no empty segments, dot segments (RFC 3986, section
-// 5.2.4) or backslashes. A segment's parameters, after ';', don't count.
-func plain(path string) bool {
+// unambiguous reports whether a path has no empty segments, dot segments (RFC 3986,
+// section 5.2.4), backslashes or NUL bytes. It ignores the parameters of a segment,
+// which follow ';'.
+func unambiguous(path string) bool {
 	if strings.ContainsAny(path, "\\\x00") || strings.Contains(path, "//") {
 		return false
 	}
