--- a/cmd/limpetdockd/main.go
+++ b/cmd/limpetdockd/main.go
@@ -9,13 +9,14 @@
 	"github.com/limpetdock/limpetdock/platform"
 )
 
-// meshWord as the first argument runs a node of a deployment whose targets
-// register themselves, on the platform of package platform.
-const meshWord = "mesh"
+// meshCommand is the first argument that selects a mesh node: a node of a
+// deployment whose targets register themselves in the store that package platform
+// connects to.
+const meshCommand = "mesh"
 
 func main() {
 	args := os.Args[1:]
-	if len(args) > 0 && args[0] == meshWord {
+	if len(args) > 0 && args[0] == meshCommand {
 		os.Exit(mesh.Main(args[1:], platform.Adapter))
 	}
 	os.Exit(node.Main(args))
--- a/examples/cestaviva/main.go
+++ b/examples/cestaviva/main.go
@@ -1,5 +1,5 @@
-// Command cestaviva prints the configuration documents of Cesta Viva's fleet,
-// or writes them into a directory with --out.
+// Command cestaviva prints the configuration documents of the Cesta Viva fleet.
+// With --out it writes them to a directory instead.
 package main
 
 import (
--- a/examples/deployments/cestaviva.go
+++ b/examples/deployments/cestaviva.go
@@ -1,5 +1,5 @@
-// Package deployments declares the deployments of the first two users, as
-// examples of package fleet and for the demo.
+// Package deployments declares example fleets: those of two users, which the demo
+// also runs, and one of the largest supported size.
 package deployments
 
 import (
@@ -8,11 +8,12 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// cestaVivaSlots is how many requests each backend server of Cesta Viva runs at once.
+// cestaVivaSlots is the number of requests that each Cesta Viva backend server
+// runs concurrently.
 const cestaVivaSlots = 6
 
-// CestaViva declares the fleet of Cesta Viva Entregas: three regions with two
-// availability zones each, three services, and a target of each service in
+// CestaViva returns the fleet of Cesta Viva Entregas: three regions with two
+// availability zones each, three services, and one target of each service in
 // every zone.
 func CestaViva(revision uint64) fleet.Fleet {
 	zones := []fleet.Zone{
@@ -25,15 +26,15 @@
 	}
 	return fleet.Fleet{
 		Name: "cesta-viva", Revision: revision, Regions: []string{"rs", "sc", "pr"}, Zones: zones,
-		// Every byte between regions is billed, and measuring more would hardly lower
-		// latency.
+		// A quarter of the default byte budgets: traffic between regions is billed by the
+		// byte, and more measuring would hardly lower latency.
 		Budget: fleet.Budget{Requests: fleet.DefaultRequests, Bytes: fleet.DefaultBytes / 4, CrossRegionBytes: fleet.DefaultCrossBytes / 4},
 		Teams:  []fleet.Team{{Name: "store"}, {Name: "logistics"}},
 		Services: []fleet.Service{
 			{
 				Name: "catalogue", Team: "store", Timeout: 2 * time.Second,
 				Routes:  []fleet.Route{{Name: "browse", Methods: []string{"GET", "HEAD"}, Path: "/*", Idempotent: true}},
-				Targets: oneInEach(zones, "catalogue", cestaVivaSlots),
+				Targets: oneTargetPerZone(zones, "catalogue", cestaVivaSlots),
 			},
 			{
 				Name: "orders", Team: "store", Timeout: 5 * time.Second, KeyLifetime: 10 * time.Second,
@@ -42,7 +43,7 @@
 					{Name: "stock", Methods: []string{"POST"}, Path: "/stock/check", Idempotent: true, Class: 5},
 					{Name: "confirm", Path: "/orders/*", Class: 9},
 				},
-				Targets: oneInEach(zones, "orders", cestaVivaSlots),
+				Targets: oneTargetPerZone(zones, "orders", cestaVivaSlots),
 			},
 			{
 				Name: "depot", Team: "logistics", Timeout: 30 * time.Second, KeyLifetime: 10 * time.Second,
@@ -51,14 +52,15 @@
 					{Name: "upload", Methods: []string{"PUT"}, Path: "/uploads/*", Idempotent: true, Class: 3},
 					{Name: "payout", Path: "/payouts/*", Class: 9},
 				},
-				Targets: oneInEach(zones, "depot", cestaVivaSlots),
+				Targets: oneTargetPerZone(zones, "depot", cestaVivaSlots),
 			},
 		},
 	}
 }
 
-// oneInEach declares one target in every zone, on a VM named after both.
-func oneInEach(zones []fleet.Zone, service string, slots int) []fleet.Target {
+// oneTargetPerZone returns one target of the service in every zone. Each VM is
+// named after the service and the zone.
+func oneTargetPerZone(zones []fleet.Zone, service string, slots int) []fleet.Target {
 	targets := make([]fleet.Target, 0, len(zones))
 	for _, z := range zones {
 		targets = append(targets, fleet.Target{VM: service + "-" + z.Name, Zone: z.Name, Slots: slots})
--- a/examples/deployments/eisbruecke.go
+++ b/examples/deployments/eisbruecke.go
@@ -6,11 +6,12 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// eisbrueckeSlots is how many requests each backend server at Innsbruck runs at once.
+// eisbrueckeSlots is the number of requests that each Innsbruck backend server
+// runs concurrently.
 const eisbrueckeSlots = 9
 
-// Eisbruecke declares the fleet of Stadtwerke Polarversorgung Innsbruck: three
-// regions with two availability zones each, three services, and a target of each
+// Eisbruecke returns the fleet of Stadtwerke Polarversorgung Innsbruck: three
+// regions with two availability zones each, three services, and one target of each
 // service in every zone.
 func Eisbruecke(revision uint64) fleet.Fleet {
 	zones := []fleet.Zone{
@@ -30,17 +31,19 @@
 	}
 }
 
-// manifest is the board that station crews read all day.
+// manifest returns the read-only service of the manifest board, which station
+// crews read all day.
 func manifest(zones []fleet.Zone) fleet.Service {
 	return fleet.Service{
 		Name: "manifest", Team: "stations", Timeout: 2 * time.Second,
 		Routes:  []fleet.Route{{Name: "board", Methods: []string{"GET", "HEAD"}, Path: "/*", Idempotent: true}},
-		Targets: oneInEach(zones, "manifest", eisbrueckeSlots),
+		Targets: oneTargetPerZone(zones, "manifest", eisbrueckeSlots),
 	}
 }
 
-// cargo books cargo space. Slot status is asked for by other services, so it is
-// short, goes before reads under overload, and may be asked again.
+// cargo returns the service that books cargo space. Other services call
+// slot-status, so it is short, has priority over reads under overload, and may be
+// retried.
 func cargo(zones []fleet.Zone) fleet.Service {
 	return fleet.Service{
 		Name: "cargo", Team: "flights", Timeout: 5 * time.Second,
@@ -49,11 +52,12 @@
 			{Name: "slot-status", Methods: []string{"POST"}, Path: "/slots/status", Idempotent: true, Class: 6},
 			{Name: "book", Path: "/bookings/*", Class: 9},
 		},
-		Targets: oneInEach(zones, "cargo", eisbrueckeSlots),
+		Targets: oneTargetPerZone(zones, "cargo", eisbrueckeSlots),
 	}
 }
 
-// ground takes weather charts and load photographs, and fuel-drop confirmations.
+// ground returns the service that receives weather charts, load photographs and
+// fuel-drop confirmations.
 func ground(zones []fleet.Zone) fleet.Service {
 	return fleet.Service{
 		Name: "ground", Team: "flights", Timeout: 30 * time.Second, Drain: 5 * time.Minute,
@@ -63,6 +67,6 @@
 			{Name: "airframe-status", Methods: []string{"POST"}, Path: "/airframes/status", Idempotent: true, Class: 6},
 			{Name: "fuel-drop", Path: "/fuel-drops/*", Class: 9},
 		},
-		Targets: oneInEach(zones, "ground", eisbrueckeSlots),
+		Targets: oneTargetPerZone(zones, "ground", eisbrueckeSlots),
 	}
 }
--- a/examples/deployments/large.go
+++ b/examples/deployments/large.go
@@ -6,7 +6,7 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// The size that the system is designed for.
+// The largest fleet size that the system is designed for.
 const (
 	LargeTargets  = 890
 	LargeServices = 59
@@ -15,8 +15,8 @@
 	largeTeams    = 12
 )
 
-// Large declares a fleet of the size that the system is designed for, to try
-// out what that size costs.
+// Large returns a fleet of the largest size that the system is designed for. It
+// is used to test the size and cost of its configuration.
 func Large(revision uint64) fleet.Fleet {
 	f := fleet.Fleet{Name: "large", Revision: revision}
 	for i := range largeRegions {
--- a/examples/deployments/main.go
+++ b/examples/deployments/main.go
@@ -9,7 +9,7 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// Exit codes of the examples.
+// Exit codes of the example commands.
 const (
 	exitOK     = 0
 	exitFailed = 1
@@ -21,13 +21,13 @@
 	Out      string `short:"o" long:"out" value-name:"DIR" description:"write each document into a file of DIR instead of printing all"`
 }
 
-// Main is the main function of an example: it prints the documents of a fleet,
-// or writes them into a directory. It gives the exit code.
+// Main is the main function of an example. It prints the documents of the fleet
+// that declare returns, or writes them to a directory, and returns the exit code.
 func Main(name string, declare func(revision uint64) fleet.Fleet, args []string, out, errOut io.Writer) int {
 	var opts options
 	parser := flags.NewNamedParser(name, flags.HelpFlag)
 	if _, err := parser.AddGroup("Options", "", &opts); err != nil {
-		return complain(errOut, name, err, exitFailed)
+		return printError(errOut, name, err, exitFailed)
 	}
 	rest, err := parser.ParseArgs(args)
 	if flags.WroteHelp(err) {
@@ -38,10 +38,10 @@
 		err = fmt.Errorf("unexpected argument %q", rest[0])
 	}
 	if err != nil {
-		return complain(errOut, name, err, exitUsage)
+		return printError(errOut, name, err, exitUsage)
 	}
 	if err := publish(declare(opts.Revision), opts.Out, out); err != nil {
-		return complain(errOut, name, err, exitFailed)
+		return printError(errOut, name, err, exitFailed)
 	}
 	return exitOK
 }
@@ -58,7 +58,7 @@
 	return err
 }
 
-func complain(w io.Writer, name string, err error, code int) int {
+func printError(w io.Writer, name string, err error, code int) int {
 	_, _ = fmt.Fprintf(w, "%s: %v\n", name, err)
 	return code
 }
--- a/examples/eisbruecke/main.go
+++ b/examples/eisbruecke/main.go
@@ -1,5 +1,5 @@
-// Command eisbruecke prints the configuration documents of the fleet at
-// Innsbruck, or writes them into a directory with --out.
+// Command eisbruecke prints the configuration documents of the Innsbruck fleet.
+// With --out it writes them to a directory instead.
 package main
 
 import (
