--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -17,26 +17,25 @@
 )
 
 const (
-	// grace is how long after its deadline a call still waits for an answer, so
-	// that the system's own "too late" is told from silence.
-	grace = 500 * time.Millisecond
-	// dialTimeout bounds opening a connection.
+	// answerGrace is how long a call waits for an answer after its deadline. It lets
+	// the client distinguish the system's own deadline error from a missing answer.
+	answerGrace = 500 * time.Millisecond
+	// dialTimeout limits the time to open a connection.
 	dialTimeout = 2 * time.Second
-	// chainHeader tells a backend server stand-in which services to call on.
+	// chainHeader lists the services that backend server stand-ins call in turn.
 	chainHeader = "X-Standin-Chain"
 	bodyFill    = 'x'
 )
 
-// Client is a Sender over HTTP/1.1. As callers' libraries commonly do, it sends
-// an idempotent call again when a kept connection turns out to be closed before
-// any answer came.
+// Client is a Sender over HTTP/1.1. Like most HTTP client libraries, it retries an
+// idempotent call if a reused connection was closed before an answer arrived.
 type Client struct {
 	plan      Plan
 	bodies    [][]byte
 	transport *http.Transport
 }
 
-// NewClient returns a Client for a plan, which has been checked.
+// NewClient returns a Client for a plan that has passed Plan.Check.
 func NewClient(p Plan) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	c := &Client{plan: p, transport: &http.Transport{
@@ -49,25 +48,25 @@
 	return c
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// Send makes one call.
+// Send makes one call and returns its outcome.
 func (c *Client) Send(ctx context.Context, call Call) Outcome {
 	k := &c.plan.Kinds[call.Kind]
-	ctx, cancel := context.WithTimeout(ctx, k.Timeout+grace)
+	ctx, cancel := context.WithTimeout(ctx, k.Timeout+answerGrace)
 	defer cancel()
-	req, err := c.request(ctx, k, call)
+	req, err := c.newRequest(ctx, k, call)
 	if err != nil {
 		return Broken
 	}
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
-		return failure(ctx, Broken)
+		return failedOutcome(ctx, Broken)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return failure(ctx, Cut)
+		return failedOutcome(ctx, Cut)
 	}
 	if k := resp.Header.Get(headers.Kind); k != "" {
 		return Outcome(k)
@@ -78,17 +77,17 @@
 	return OK
 }
 
-func failure(ctx context.Context, otherwise Outcome) Outcome {
+func failedOutcome(ctx context.Context, fallback Outcome) Outcome {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return CallerTimeout
 	}
-	return otherwise
+	return fallback
 }
 
-func (c *Client) request(ctx context.Context, k *Kind, call Call) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, k *Kind, call Call) (*http.Request, error) {
 	var body io.Reader
-	if text := c.bodies[call.Kind]; len(text) > 0 {
-		body = bytes.NewReader(text)
+	if content := c.bodies[call.Kind]; len(content) > 0 {
+		body = bytes.NewReader(content)
 	}
 	req, err := http.NewRequestWithContext(ctx, k.Method, "http://"+call.To+k.Path, body)
 	if err != nil {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -23,7 +23,7 @@
 	}.WithDefaults()
 }
 
-func all(p Plan) []Call {
+func allCalls(p Plan) []Call {
 	var list []Call
 	s := newSchedule(p)
 	for c, ok := s.next(); ok; c, ok = s.next() {
@@ -32,12 +32,12 @@
 	return list
 }
 
-func TestScheduleDependsOnThePlanAlone(t *testing.T) {
+func TestScheduleIsDeterministicForAPlan(t *testing.T) {
 	p := testPlan()
-	first := all(p)
-	require.Equal(t, first, all(p))
+	first := allCalls(p)
+	require.Equal(t, first, allCalls(p))
 	p.Seed++
-	require.NotEqual(t, first, all(p))
+	require.NotEqual(t, first, allCalls(p))
 	require.InDelta(t, 1000, len(first), 100)
 	kinds := map[int]int{}
 	for i, c := range first {
@@ -48,23 +48,23 @@
 	require.InDelta(t, 0.75, float64(kinds[0])/float64(len(first)), 0.05)
 }
 
-func TestConstantScheduleKeepsItsGap(t *testing.T) {
+func TestConstantArrivalsAreEvenlySpaced(t *testing.T) {
 	p := testPlan()
 	p.Arrivals = Constant
-	calls := all(p)
+	calls := allCalls(p)
 	require.Len(t, calls, 999)
 	for i, c := range calls {
 		require.InDelta(t, float64(i+1)*0.01, c.At.Seconds(), 1e-6)
 	}
 }
 
-func TestSurgeChangesTheRateForItsTime(t *testing.T) {
+func TestSurgeChangesTheRateOnlyInItsWindow(t *testing.T) {
 	p := testPlan()
 	p.Arrivals = Constant
 	p.Surges = []Surge{{From: 2 * time.Second, To: 4 * time.Second, Factor: 3}}
 	require.NoError(t, p.Check())
 	perSecond := make([]int, 10)
-	for _, c := range all(p) {
+	for _, c := range allCalls(p) {
 		perSecond[c.At/time.Second]++
 	}
 	require.InDelta(t, 300, perSecond[2], 2)
@@ -72,13 +72,14 @@
 	require.InDelta(t, 100, perSecond[5], 2)
 }
 
-// stalling answers in a millisecond but stands still from one time to another.
-type stalling struct {
+// stallingSender answers after one millisecond, but sends no answer between from and
+// to.
+type stallingSender struct {
 	start    time.Time
 	from, to time.Duration
 }
 
-func (s stalling) Send(ctx context.Context, _ Call) Outcome {
+func (s stallingSender) Send(ctx context.Context, _ Call) Outcome {
 	at := time.Since(s.start)
 	if at >= s.from && at < s.to {
 		time.Sleep(s.to - at)
@@ -90,14 +91,14 @@
 	return OK
 }
 
-// A system stands still for two of ten seconds. Its callers don't: each call due
-// in that time waits. A sender that only sends when one of its few workers is
-// free would count two slow calls; a fifth of all calls were slow.
-func TestStalledServerShowsInP99AlthoughAllWorkersAreBusy(t *testing.T) {
+// Guards against coordinated omission. The server stalls for two of ten seconds, so
+// every call scheduled in that time, a fifth of all calls, is slow. Latency measured
+// from sending would show only two slow calls, one for each busy worker.
+func TestStalledServerRaisesP99WhenAllWorkersAreBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := testPlan()
 		p.Arrivals, p.Workers = Constant, 2
-		sender := stalling{start: time.Now(), from: 4 * time.Second, to: 6 * time.Second}
+		sender := stallingSender{start: time.Now(), from: 4 * time.Second, to: 6 * time.Second}
 		var seen []Progress
 		r := Run(t.Context(), p, Options{
 			Sender: sender, Every: time.Second, Progress: func(p Progress) { seen = append(seen, p) },
@@ -106,31 +107,31 @@
 		require.Greater(t, r.All.Latency.P99, 1800.0)
 		require.Greater(t, r.All.Latency.P90, 800.0)
 		require.Less(t, r.All.Latency.P50, 1.5)
-		require.Less(t, r.All.FromSending.P99, 1.5, "what closed-loop counting would have shown")
+		require.Less(t, r.All.FromSending.P99, 1.5, "latency as closed-loop measurement would report it")
 		require.False(t, r.Kept(), "two workers can't keep the schedule")
 		require.InDelta(t, 1990, r.WorstLateMs, 15)
 		require.Greater(t, r.Timeline[4].Latency.P50, 1000.0)
 		require.Less(t, r.Timeline[8].Latency.P99, 1.5)
 		require.GreaterOrEqual(t, len(seen), 9)
-		require.Less(t, r.Kinds[1].Good, r.Kinds[1].Outcomes[OK], "answers after the deadline are no goodput")
+		require.Less(t, r.Kinds[1].Good, r.Kinds[1].Outcomes[OK], "answers after the deadline don't count as goodput")
 	})
 }
 
-func TestRunEndsWithItsContextAndReportsWhatWasSent(t *testing.T) {
+func TestRunStopsOnContextEndAndReportsSentCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 		defer cancel()
 		p := testPlan()
 		p.Arrivals = Constant
-		r := Run(ctx, p, Options{Sender: stalling{start: time.Now()}})
+		r := Run(ctx, p, Options{Sender: stallingSender{start: time.Now()}})
 		require.InDelta(t, 250, r.All.Calls, 2)
 		require.True(t, r.Kept())
 	})
 }
 
-func TestClientTellsOutcomesApart(t *testing.T) {
+func TestClientDistinguishesOutcomes(t *testing.T) {
 	handler := func(w http.ResponseWriter, r *http.Request) {
-		// net/http notices a caller that has gone only once the body is read.
+		// net/http detects a disconnected caller only after the body has been read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		switch r.URL.Path {
 		case "/refused":
@@ -161,7 +162,7 @@
 	}
 }
 
-func TestReadPlan(t *testing.T) {
+func TestReadPlanParsesEveryKey(t *testing.T) {
 	p, err := ReadPlan([]byte(`
 [load]
 to = 127.0.0.1:1, 127.0.0.1:2
@@ -190,7 +191,7 @@
 	require.Equal(t, DefaultTimeout, p.Kinds[1].Timeout)
 }
 
-func TestWrongPlansAreRefusedWithTheReason(t *testing.T) {
+func TestInvalidPlansAreRejectedWithReason(t *testing.T) {
 	const good = "[load]\nto=a:1\nrate=1\nduration=1s\n"
 	for text, reason := range map[string]string{
 		"[load]\nrate = many":                   "must be a number",
@@ -214,8 +215,8 @@
 
 func TestReportAndPlotShowEachKind(t *testing.T) {
 	rec := newRecorder(testPlan())
-	rec.began(0)
-	rec.ended(Call{Kind: 1, At: 1500 * time.Millisecond}, OK, 1500*time.Millisecond, 1540*time.Millisecond)
+	rec.recordStart(0)
+	rec.recordEnd(Call{Kind: 1, At: 1500 * time.Millisecond}, OK, 1500*time.Millisecond, 1540*time.Millisecond)
 	r := rec.report(10 * time.Second)
 	require.Equal(t, 1, r.Kinds[1].Good)
 	require.InDelta(t, 40, r.Kinds[1].Latency.P99, 0.1)
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -1,6 +1,6 @@
-// Package load sends an open-loop load to nodes and records what came back.
-// Arrivals follow a schedule that doesn't wait for answers, and latency counts
-// from the scheduled time, so that a stalled system can't hide its queue
+// Package load sends an open-loop load to nodes and records the outcomes.
+// Arrivals follow a schedule that doesn't wait for answers, and latency is measured
+// from the scheduled time. A stalled system therefore can't hide queueing time
 // ("coordinated omission", G. Tene, "How NOT to Measure Latency", 2015).
 package load
 
@@ -13,38 +13,38 @@
 	"github.com/rotisserie/eris"
 )
 
-// Arrivals is how the times between arrivals are drawn.
+// Arrivals is the distribution of the times between arrivals.
 type Arrivals string
 
-// The kinds of arrivals.
+// Arrival distributions.
 const (
-	// Poisson draws exponential times between arrivals, as of many callers
-	// that don't know of each other.
+	// Poisson draws exponentially distributed times between arrivals, as many
+	// independent callers produce them.
 	Poisson Arrivals = "poisson"
-	// Constant keeps the same time between all arrivals.
+	// Constant spaces all arrivals evenly.
 	Constant Arrivals = "constant"
 )
 
-// Plan says what is sent, how often and where to.
+// Plan describes a load: the calls, their rate and their destinations.
 type Plan struct {
-	// To are the addresses calls go to, IP:PORT, each as likely as the others.
+	// To lists the addresses that calls go to, as IP:PORT, each with equal probability.
 	To []string
-	// Rate is arrivals per second, over all kinds.
+	// Rate is the number of arrivals per second over all kinds.
 	Rate float64
-	// Duration is how long arrivals are scheduled; the last answers come later.
+	// Duration is how long arrivals are scheduled; the last answers arrive later.
 	Duration time.Duration
-	// Arrivals is Poisson when empty.
+	// Arrivals defaults to Poisson.
 	Arrivals Arrivals
-	// Seed makes the schedule; the same seed gives the same schedule.
+	// Seed initializes the random schedule; the same seed produces the same schedule.
 	Seed uint64
-	// Workers bounds the calls in flight; 0 means DefaultWorkers.
+	// Workers is the maximum number of calls in flight; 0 means DefaultWorkers.
 	Workers int
-	// Surges change the rate for a time; where two overlap the first holds.
+	// Surges change the rate for a period; where two overlap, the first applies.
 	Surges []Surge
 	Kinds  []Kind
 }
 
-// Surge multiplies the rate from one time of the run to another.
+// Surge multiplies the rate by Factor between two times since the start of the run.
 type Surge struct {
 	From, To time.Duration
 	Factor   float64
@@ -54,18 +54,18 @@
 type Kind struct {
 	Name                  string
 	Service, Method, Path string
-	// Weight is the kind's share of all arrivals, relative to the others' weights.
+	// Weight is the kind's share of all arrivals, relative to the weights of the others.
 	Weight int
 	// Body is the size of the request's body, in bytes.
 	Body int
-	// Timeout is the deadline; an answer after it is no goodput.
+	// Timeout is the deadline; a later answer doesn't count as goodput.
 	Timeout time.Duration
-	// Chain are services that the backend server stand-ins call on from one
-	// to the next; at most MaxChain.
+	// Chain lists the services that the backend server stand-ins call, each from the
+	// one before; at most MaxChain.
 	Chain []string
-	// To replaces the plan's addresses when it isn't empty.
+	// To overrides the plan's addresses if it isn't empty.
 	To []string
-	// Headers are sent as they are.
+	// Headers are added to each request unchanged.
 	Headers map[string]string
 }
 
@@ -73,14 +73,14 @@
 const (
 	DefaultWorkers = 512
 	DefaultTimeout = 2 * time.Second
-	// MaxChain is the deepest call chain: the call itself and ten more.
+	// MaxChain is the longest call chain: ten services after the call itself.
 	MaxChain   = 10
 	maxRate    = 200_000
 	maxWorkers = 100_000
 	maxBody    = 1 << 30
 )
 
-// WithDefaults returns a copy in which every default is filled in.
+// WithDefaults returns a copy of p in which defaults replace unset values.
 func (p Plan) WithDefaults() Plan {
 	if p.Arrivals == "" {
 		p.Arrivals = Poisson
@@ -114,7 +114,7 @@
 	return k
 }
 
-// Check says what is wrong with a plan whose defaults are filled in.
+// Check returns an error if p is invalid. Defaults must be filled in.
 func (p Plan) Check() error {
 	switch {
 	case !(p.Rate > 0 && p.Rate <= maxRate):
@@ -136,7 +136,7 @@
 			return eris.Errorf("kind %q: %v", k.Name, err)
 		}
 		if names[k.Name] {
-			return eris.Errorf("kind %q is there twice", k.Name)
+			return eris.Errorf("kind %q is declared twice", k.Name)
 		}
 		names[k.Name] = true
 	}
@@ -145,7 +145,7 @@
 
 func (p Plan) checkKind(k Kind) error {
 	switch {
-	case len(p.to(k)) == 0:
+	case len(p.addressesOf(k)) == 0:
 		return eris.New("there is no address to send to")
 	case k.Weight < 0:
 		return eris.New("weight must be at least 1")
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// to gives the addresses of a kind.
-func (p Plan) to(k Kind) []string {
+// addressesOf returns the addresses that calls of kind k go to.
+func (p Plan) addressesOf(k Kind) []string {
 	if len(k.To) > 0 {
 		return k.To
 	}
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -14,12 +14,12 @@
 	Report *Report
 }
 
-// WritePlot writes an HTML page that shows the latency distribution of runs
-// over time: p50, p99 and p99.9 of each second, on a logarithmic scale. The page
-// carries its data, but it loads the chart library's script from the library's
-// host, or from assets when that isn't empty: a URL or directory that ends in "/"
-// and holds echarts.min.js. Without either it can't be drawn; the JSON report
-// has the same figures.
+// WritePlot writes an HTML page that plots the latency of runs over time: p50, p99
+// and p99.9 of each second, on a logarithmic scale. The page contains the data but
+// loads the script of the chart library from the library's host. If assets isn't
+// empty, the script comes from there instead: a URL or directory that ends in "/"
+// and contains echarts.min.js. The plot can't be drawn without the script; the JSON
+// report has the same figures.
 func WritePlot(w io.Writer, title, assets string, runs ...Series) error {
 	line := charts.NewLine()
 	line.SetGlobalOptions(
@@ -47,10 +47,10 @@
 	return line.Render(w)
 }
 
-func points(steps []Step, of func(Latency) float64) []opts.LineData {
+func points(steps []Step, percentile func(Latency) float64) []opts.LineData {
 	list := make([]opts.LineData, 0, len(steps))
 	for _, s := range steps {
-		value := any(of(s.Latency))
+		value := any(percentile(s.Latency))
 		if s.Calls == 0 {
 			value = nil
 		}
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// maxLatency is the longest latency a histogram tells apart.
+	// maxLatency is the longest latency that a histogram records.
 	maxLatency = 10 * time.Minute
-	// figures are the significant decimal figures of the whole run's latencies,
-	// windowFigures those of a window's.
-	figures, windowFigures = 3, 2
+	// significantFigures is the number of significant decimal figures of latencies
+	// over the whole run; windowSignificantFigures is that of latencies in a window.
+	significantFigures, windowSignificantFigures = 3, 2
 	// window is the length of a step of the timeline.
 	window = time.Second
-	// lateAfter is how late a call may begin before the schedule isn't kept.
-	lateAfter = 10 * time.Millisecond
+	// lateThreshold is the delay after the scheduled time beyond which a call counts as
+	// late.
+	lateThreshold = 10 * time.Millisecond
 )
 
-// tally counts the calls of one kind, or of all.
+// tally holds latencies and outcome counts of the calls of one kind, or of all.
 type tally struct {
 	fromSchedule, fromSending *hdrhistogram.Histogram
 	outcomes                  map[Outcome]int
@@ -28,7 +29,7 @@
 
 func newTally() *tally {
 	return &tally{
-		fromSchedule: newHistogram(figures), fromSending: newHistogram(figures), outcomes: map[Outcome]int{},
+		fromSchedule: newHistogram(significantFigures), fromSending: newHistogram(significantFigures), outcomes: map[Outcome]int{},
 	}
 }
 
@@ -36,7 +37,7 @@
 	return hdrhistogram.New(1, maxLatency.Microseconds(), figures)
 }
 
-// record adds a latency; one beyond the histogram counts as its longest.
+// record adds a latency to h, limited to the range of the histogram.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(max(1, min(d, maxLatency).Microseconds()))
 }
@@ -50,13 +51,13 @@
 	}
 }
 
-// step is one window of the timeline, by scheduled time.
+// step is one window of the timeline. Calls are assigned by scheduled time.
 type step struct {
 	latency *hdrhistogram.Histogram
 	good    int
 }
 
-// recorder gathers what a run came to. Safe for concurrent use.
+// recorder collects the results of a run. It is safe for concurrent use.
 type recorder struct {
 	plan      Plan
 	mu        sync.Mutex
@@ -76,25 +77,26 @@
 	return r
 }
 
-// began records a call that was sent, and how long after its time.
-func (r *recorder) began(late time.Duration) {
+// recordStart records that a call was sent, late by the given duration.
+func (r *recorder) recordStart(late time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent++
 	r.worstLate = max(r.worstLate, late)
-	if late > lateAfter {
+	if late > lateThreshold {
 		r.late++
 	}
 }
 
-// ended records the end of a call; began and at are times since the start.
-func (r *recorder) ended(c Call, o Outcome, began, at time.Duration) {
-	latency := at - c.At
+// recordEnd records the outcome of a call. began and ended are times since the start
+// of the run.
+func (r *recorder) recordEnd(c Call, o Outcome, began, ended time.Duration) {
+	latency := ended - c.At
 	good := o == OK && latency <= r.plan.Kinds[c.Kind].Timeout
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all.add(o, latency, at-began, good)
-	r.kinds[c.Kind].add(o, latency, at-began, good)
+	r.all.add(o, latency, ended-began, good)
+	r.kinds[c.Kind].add(o, latency, ended-began, good)
 	s := r.step(c.At)
 	record(s.latency, latency)
 	if good {
@@ -105,7 +107,7 @@
 func (r *recorder) step(at time.Duration) *step {
 	i := int(at / window)
 	for len(r.steps) <= i {
-		r.steps = append(r.steps, &step{latency: newHistogram(windowFigures)})
+		r.steps = append(r.steps, &step{latency: newHistogram(windowSignificantFigures)})
 	}
 	return r.steps[i]
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -26,21 +26,22 @@
 	return Latency{P50: ms(50), P90: ms(90), P99: ms(99), P999: ms(99.9), Max: float64(h.Max()) / 1000}
 }
 
-// Row is what became of the calls of one kind, or of all.
+// Row holds the results of the calls of one kind, or of all.
 type Row struct {
 	Name  string `json:"name"`
 	Calls int    `json:"calls"`
-	// Latency counts from the scheduled time, whatever the outcome.
+	// Latency is measured from the scheduled time and includes every outcome.
 	Latency Latency `json:"latency"`
-	// FromSending counts from when the call was in fact sent.
+	// FromSending is measured from the time the call was actually sent.
 	FromSending Latency `json:"from_sending"`
-	// Goodput is whole answers within the deadline, per second.
+	// Goodput is the number of complete successful answers within the deadline, per
+	// second.
 	Goodput  float64         `json:"goodput_per_s"`
 	Good     int             `json:"good"`
 	Outcomes map[Outcome]int `json:"outcomes"`
 }
 
-// Step is one second of the timeline, by scheduled time.
+// Step is one second of the timeline. Calls are assigned by scheduled time.
 type Step struct {
 	Second  int     `json:"second"`
 	Calls   int     `json:"calls"`
@@ -48,15 +49,16 @@
 	Latency Latency `json:"latency"`
 }
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
 	Rate     float64  `json:"rate_per_s"`
 	Arrivals Arrivals `json:"arrivals"`
 	Seed     uint64   `json:"seed"`
-	// Took is the whole run, the wait for the last answers included, in seconds.
+	// Took is the length of the run in seconds, including the wait for the last answers.
 	Took float64 `json:"took_s"`
-	// Late counts calls that began more than 10 ms after their time because
-	// all workers were busy or the machine was; WorstLateMs is the worst of all.
+	// Late is the number of calls that began more than 10 ms after their scheduled
+	// time, because all workers or the machine were busy. WorstLateMs is the longest
+	// such delay of any call.
 	Late        int     `json:"late"`
 	WorstLateMs float64 `json:"worst_late_ms"`
 	All         Row     `json:"all"`
@@ -92,18 +94,18 @@
 	}
 }
 
-// Kept says whether the schedule was kept: at most one call in a thousand
-// began late. Otherwise the figures also show the sender's own limits.
+// ScheduleKept reports whether the schedule was kept: at most one call in a thousand began
+// late. Otherwise the figures also reflect limits of the sender itself.
 func (r *Report) Kept() bool {
 	const perMille = 1000
 	return r.Late*perMille <= r.All.Calls
 }
 
-// WriteText writes the report as text for people.
+// WriteText writes the report as human-readable text.
 func (r *Report) WriteText(w io.Writer) error {
 	fmt.Fprintf(w, "%d calls in %.1f s, %s arrivals at %g/s, seed %d\n", r.All.Calls, r.Took, r.Arrivals, r.Rate, r.Seed)
 	if !r.Kept() {
-		fmt.Fprintf(w, "SCHEDULE NOT KEPT: %d calls began more than %v late, the worst %.1f ms\n", r.Late, lateAfter, r.WorstLateMs)
+		fmt.Fprintf(w, "SCHEDULE NOT KEPT: %d calls began more than %v late, the worst %.1f ms\n", r.Late, lateThreshold, r.WorstLateMs)
 	}
 	fmt.Fprintln(w, "latency in ms from the scheduled time; good: whole answers within the deadline")
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -123,7 +125,7 @@
 	return nil
 }
 
-// outcomes writes counts in a fixed order.
+// outcomes formats counts, sorted by outcome.
 func outcomes(counts map[Outcome]int) string {
 	var parts []string
 	for _, o := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -8,30 +8,31 @@
 	"github.com/limpetdock/limpetdock/internal/clock"
 )
 
-// Outcome is what became of a call: an error kind of the system (package kind),
-// or one of those below.
+// Outcome is the result of a call: an error kind of the system (package kind), or
+// one of the constants below.
 type Outcome string
 
 // Outcomes that aren't error kinds of the system.
 const (
-	// OK is a whole answer of a backend server with a status below 400.
+	// OK is a complete answer of a backend server with a status below 400.
 	OK Outcome = "ok"
 	// BackendError is a backend server's own answer with a status of 400 or above.
 	BackendError Outcome = "backend-error"
-	// CallerTimeout is a call that got no answer until well after its deadline.
+	// CallerTimeout means that the call was still unanswered 500 ms after its deadline.
 	CallerTimeout Outcome = "caller-timeout"
-	// Broken is a connection that couldn't be opened or broke before an answer.
+	// Broken means that the connection couldn't be opened or failed before an answer.
 	Broken Outcome = "broken"
-	// Cut is an answer that broke off.
+	// Cut means that the connection failed in the middle of an answer.
 	Cut Outcome = "cut"
 )
 
-// Sender makes one call and waits for its end. Safe for concurrent use.
+// Sender makes one call and waits for its outcome. It must be safe for concurrent
+// use.
 type Sender interface {
 	Send(ctx context.Context, c Call) Outcome
 }
 
-// Progress is what a run has come to so far.
+// Progress holds the counts of a run so far.
 type Progress struct {
 	After    time.Duration
 	Sent     int
@@ -39,31 +40,32 @@
 	OK       int
 }
 
-// Options are what a run needs besides its plan.
+// Options configures a run in addition to its plan.
 type Options struct {
 	Sender Sender
-	// Progress is called every Every, when both are set, on a goroutine of its own.
+	// Progress, if set, is called on a separate goroutine at the interval Every.
+	// It isn't called if Every is 0.
 	Progress func(Progress)
 	Every    time.Duration
 }
 
-// Run sends the load of a plan, which has been checked, until its duration is
-// over or ctx ends, and waits for the last answers.
+// Run sends the load of a plan that has passed Plan.Check, until the plan's
+// duration has elapsed or ctx ends. Then it waits for the last answers.
 //
-// At most Plan.Workers calls are in flight. When all are busy the next call
-// waits; its latency counts from the scheduled time all the same, and the report
-// says how many calls began late.
+// At most Plan.Workers calls are in flight. If all workers are busy, the next call
+// waits. Its latency still counts from the scheduled time, and the report has the
+// number of calls that began late.
 func Run(ctx context.Context, p Plan, o Options) *Report {
 	start := time.Now()
 	rec := newRecorder(p)
-	stop := watch(rec, start, o)
+	stop := reportProgress(rec, start, o)
 	defer stop()
 	dispatch(ctx, p, start, o.Sender, rec)
 	return rec.report(time.Since(start))
 }
 
 func dispatch(ctx context.Context, p Plan, start time.Time, sender Sender, rec *recorder) {
-	free := make(chan struct{}, p.Workers)
+	workers := make(chan struct{}, p.Workers)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	s := newSchedule(p)
@@ -72,31 +74,31 @@
 			return
 		}
 		select {
-		case free <- struct{}{}:
+		case workers <- struct{}{}:
 		case <-ctx.Done():
 			return
 		}
 		wg.Go(func() {
 			began := time.Since(start)
-			rec.began(began - c.At)
+			rec.recordStart(began - c.At)
 			outcome := sender.Send(ctx, c)
-			rec.ended(c, outcome, began, time.Since(start))
-			<-free
+			rec.recordEnd(c, outcome, began, time.Since(start))
+			<-workers
 		})
 	}
 }
 
-// sleepUntil waits for a time; it returns false when ctx ends first.
+// sleepUntil waits until t. It returns false if ctx ends first.
 func sleepUntil(ctx context.Context, t time.Time) bool {
-	left := time.Until(t)
-	if left <= 0 {
+	remaining := time.Until(t)
+	if remaining <= 0 {
 		return ctx.Err() == nil
 	}
-	return clock.Sleep(ctx, left)
+	return clock.Sleep(ctx, remaining)
 }
 
-// watch reports progress until the returned function is called.
-func watch(rec *recorder, start time.Time, o Options) (stop func()) {
+// reportProgress calls o.Progress every o.Every until stop is called.
+func reportProgress(rec *recorder, start time.Time, o Options) (stop func()) {
 	if o.Progress == nil || o.Every <= 0 {
 		return func() {}
 	}
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -7,35 +7,35 @@
 
 // Call is one scheduled call.
 type Call struct {
-	// No counts the calls of a run from 0.
+	// No is the number of the call in the run, from 0.
 	No int
-	// At is the time it is due, since the start of the run.
+	// At is the scheduled time since the start of the run.
 	At time.Duration
-	// Kind is the index of the plan's kind.
+	// Kind is the index in Plan.Kinds.
 	Kind int
-	// To is the address it goes to.
+	// To is the destination address.
 	To string
 }
 
-// schedule gives the calls of a plan in order. It depends on the plan alone,
-// never on answers.
+// schedule generates the calls of a plan in order. It depends only on the plan, not
+// on answers.
 type schedule struct {
-	plan    Plan
-	rnd     *rand.Rand
-	weights int
-	no      int
-	at      time.Duration
+	plan        Plan
+	rnd         *rand.Rand
+	totalWeight int
+	no          int
+	at          time.Duration
 }
 
 func newSchedule(p Plan) *schedule {
 	s := &schedule{plan: p, rnd: rand.New(rand.NewPCG(p.Seed, 0))}
 	for _, k := range p.Kinds {
-		s.weights += k.Weight
+		s.totalWeight += k.Weight
 	}
 	return s
 }
 
-// next gives the next call, or false when the plan's duration is over.
+// next returns the next call, or false after the end of the plan's duration.
 func (s *schedule) next() (Call, bool) {
 	gap := float64(time.Second) / s.rate()
 	if s.plan.Arrivals == Poisson {
@@ -45,14 +45,14 @@
 	if s.at >= s.plan.Duration {
 		return Call{}, false
 	}
-	kind := s.kind()
-	to := s.plan.to(s.plan.Kinds[kind])
+	kind := s.drawKind()
+	to := s.plan.addressesOf(s.plan.Kinds[kind])
 	c := Call{No: s.no, At: s.at, Kind: kind, To: to[s.rnd.IntN(len(to))]}
 	s.no++
 	return c, true
 }
 
-// rate gives the rate now.
+// rate returns the arrival rate at the current time of the schedule.
 func (s *schedule) rate() float64 {
 	for _, surge := range s.plan.Surges {
 		if s.at >= surge.From && s.at < surge.To {
@@ -62,8 +62,8 @@
 	return s.plan.Rate
 }
 
-func (s *schedule) kind() int {
-	n := s.rnd.IntN(s.weights)
+func (s *schedule) drawKind() int {
+	n := s.rnd.IntN(s.totalWeight)
 	for i, k := range s.plan.Kinds {
 		n -= k.Weight
 		if n < 0 {
