--- a/internal/cli/ask.go
+++ b/internal/cli/ask.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	// askTimeout is how long a node may take to begin its answer, and how long the answer
-	// may stand still. The whole takes as long as its size and the link need.
-	askTimeout = 5 * time.Second
-	// maxReply bounds what a node may answer, in bytes.
-	maxReply = 256 << 20
+	// stallTimeout limits the time until a node begins its answer, and each pause in
+	// the answer. The total time isn't limited, because it depends on the size of the
+	// answer and the speed of the link.
+	stallTimeout = 5 * time.Second
+	// maxResponseBytes is the maximum size of a node's answer.
+	maxResponseBytes = 256 << 20
 )
 
-// ask reads a path of a node's administration API.
-func ask(node, path string) ([]byte, error) {
-	if err := checkNode(node); err != nil {
+// fetch returns the answer of a node's administration API to a GET of path.
+func fetch(node, path string) ([]byte, error) {
+	if err := checkNodeAddress(node); err != nil {
 		return nil, err
 	}
-	return askOver(http.DefaultClient, node, path)
+	return fetchWith(http.DefaultClient, node, path)
 }
 
-func askOver(client *http.Client, node, path string) ([]byte, error) {
-	ctx, watchdog := progress.Watch(context.Background(), askTimeout)
+func fetchWith(client *http.Client, node, path string) ([]byte, error) {
+	ctx, watchdog := progress.Watch(context.Background(), stallTimeout)
 	defer watchdog.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node+path, nil)
 	if err != nil {
@@ -40,21 +41,22 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, eris.Errorf("%s can't be asked: %v", node, cause(err))
+		return nil, eris.Errorf("%s can't be asked: %v", node, rootCause(err))
 	}
 	defer func() { _ = resp.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(watchdog.Reader(resp.Body, askTimeout), maxReply))
+	text, err := io.ReadAll(io.LimitReader(watchdog.Reader(resp.Body, stallTimeout), maxResponseBytes))
 	if err != nil {
-		return nil, eris.Errorf("%s broke off its answer", node)
+		return nil, eris.Errorf("the answer of %s is incomplete", node)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, refusal(node, resp.Status, text)
+		return nil, responseError(node, resp.Status, text)
 	}
 	return text, nil
 }
 
-// checkNode refuses what is no address, before anything is sent to it.
-func checkNode(node string) error {
+// checkNodeAddress returns a usage error if node isn't IP:PORT or localhost:PORT. It
+// is called before anything is sent to node.
+func checkNodeAddress(node string) error {
 	host, port, err := net.SplitHostPort(node)
 	if err != nil || host != "localhost" && net.ParseIP(host) == nil {
 		return usagef("%q is no IP:PORT", node)
@@ -65,8 +67,9 @@
 	return nil
 }
 
-// cause strips the URL that net/http puts before its errors.
-func cause(err error) error {
+// rootCause removes the URL that net/http adds to its errors. It unwraps err down to
+// a *net.OpError or the innermost error.
+func rootCause(err error) error {
 	for {
 		inner, ok := err.(interface{ Unwrap() error })
 		if !ok || inner.Unwrap() == nil {
@@ -79,8 +82,9 @@
 	}
 }
 
-// refusal gives a node's own word where it gave one.
-func refusal(node, status string, text []byte) error {
+// responseError returns an error with the node's own error message, or with the HTTP
+// status if the answer has none.
+func responseError(node, status string, text []byte) error {
 	var f admin.Failure
 	if json.Unmarshal(text, &f) == nil && f.Message != "" {
 		return eris.Errorf("%s: %s", node, f.Message)
@@ -88,10 +92,10 @@
 	return eris.Errorf("%s answered %s", node, status)
 }
 
-// askFor reads a path and decodes the answer.
-func askFor[T any](node, path string) (T, error) {
+// fetchJSON fetches a path of a node and decodes the JSON answer.
+func fetchJSON[T any](node, path string) (T, error) {
 	var v T
-	text, err := ask(node, path)
+	text, err := fetch(node, path)
 	if err != nil {
 		return v, err
 	}
@@ -101,7 +105,7 @@
 	return v, nil
 }
 
-// printJSON writes a value for scripts.
+// printJSON writes v as indented JSON.
 func printJSON(out io.Writer, v any) error {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", "  ")
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the operators' command-line tool: each command is a type of
-// its own with a run method.
+// Package cli implements the operators' command-line tool. Each command is a type
+// that implements runner.
 package cli
 
 import (
@@ -14,38 +14,40 @@
 
 // Exit codes of the tool.
 const (
-	// ExitOK means that the command did what it was asked, and found nothing amiss.
+	// ExitOK means that the command succeeded and has no findings.
 	ExitOK = 0
-	// ExitFailed means that it couldn't: a file can't be read, a node doesn't
-	// answer, a document is wrong.
+	// ExitFailed means that the command failed: a file can't be read, a node doesn't
+	// answer, or a document is invalid.
 	ExitFailed = 1
-	// ExitUsage means that the command line is wrong.
+	// ExitUsage means that the command line is invalid.
 	ExitUsage = 2
-	// ExitFound means that it worked and found something to look at.
+	// ExitFindings means that the command succeeded and printed findings that need
+	// attention.
 	ExitFound = 3
 )
 
 var errNoCommand = eris.New("a command is needed; see limpetdock --help")
 
-// errFound ends a command that has printed what it found.
-var errFound = errors.New("found something to look at")
+// errFindings is returned by a command that has printed findings. Main prints no
+// message for it.
+var errFindings = errors.New("found something to look at")
 
-// usageError is a wrong argument that the flags library can't know of.
+// usageError is an invalid argument that the flags library doesn't detect.
 type usageError struct{ error }
 
 func usagef(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
 
-// runner is a command that has been parsed.
+// runner is a command whose arguments have been parsed.
 type runner interface {
 	run(out io.Writer) error
 }
 
-// Main runs the tool with command-line arguments and gives its exit code.
+// Main runs the tool with command-line arguments and returns the exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	var chosen runner
 	parser, err := newParser(os.Stdin)
 	if err != nil {
-		return complain(errOut, err, ExitFailed)
+		return printError(errOut, err, ExitFailed)
 	}
 	parser.CommandHandler = func(c flags.Commander, rest []string) error {
 		chosen, _ = c.(runner)
@@ -59,40 +61,41 @@
 			_, _ = fmt.Fprintln(out, err)
 			return ExitOK
 		}
-		return complain(errOut, err, ExitUsage)
+		return printError(errOut, err, ExitUsage)
 	}
 	if chosen == nil {
-		return complain(errOut, errNoCommand, ExitUsage)
+		return printError(errOut, errNoCommand, ExitUsage)
 	}
-	return exit(chosen.run(out), errOut)
+	return exitCode(chosen.run(out), errOut)
 }
 
-// exit gives the exit code for a command's error.
-func exit(err error, errOut io.Writer) int {
+// exitCode prints a command's error and returns the exit code for it.
+func exitCode(err error, errOut io.Writer) int {
 	var usage usageError
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.Is(err, errFound):
+	case errors.Is(err, errFindings):
 		return ExitFound
 	case errors.As(err, &usage):
-		return complain(errOut, err, ExitUsage)
+		return printError(errOut, err, ExitUsage)
 	}
-	return complain(errOut, err, ExitFailed)
+	return printError(errOut, err, ExitFailed)
 }
 
-func complain(w io.Writer, err error, code int) int {
+func printError(w io.Writer, err error, code int) int {
 	_, _ = fmt.Fprintln(w, "limpetdock:", err)
 	return code
 }
 
-// command lets a runner be registered with the flags library.
+// command is embedded in each runner so that the flags library accepts it.
 type command struct{}
 
-// Execute satisfies flags.Commander; the tool runs the command itself.
+// Execute implements flags.Commander. It does nothing: Main calls run instead.
 func (command) Execute([]string) error { return nil }
 
-// newParser returns the parser with every command. stdin is what "-" reads.
+// newParser returns a parser with all commands registered. Commands read stdin for
+// the argument "-".
 func newParser(stdin io.Reader) (*flags.Parser, error) {
 	p := flags.NewNamedParser("limpetdock", flags.HelpFlag|flags.PassDoubleDash)
 	p.LongDescription = "The operators' tool of limpetdock.\n" + exitCodesText
@@ -102,18 +105,18 @@
 const exitCodesText = `Exit codes: 0 done, nothing amiss; 1 failed, with the reason on stderr; ` +
 	`2 wrong command line; 3 done, and found something to look at.`
 
-// entry is a command as it is registered.
-type entry struct {
+// commandSpec describes a command for registration.
+type commandSpec struct {
 	name, short, long string
 	data              flags.Commander
 }
 
-// adder is a parser or a command that takes subcommands.
-type adder interface {
+// commandAdder is a parser or a command to which commands can be added.
+type commandAdder interface {
 	AddCommand(command, short, long string, data any) (*flags.Command, error)
 }
 
-func addAll(to adder, entries []entry) error {
+func registerAll(to commandAdder, entries []commandSpec) error {
 	for _, e := range entries {
 		if _, err := to.AddCommand(e.name, e.short, e.long, e.data); err != nil {
 			return err
@@ -132,7 +135,7 @@
 	if err := addLoad(p); err != nil {
 		return err
 	}
-	return addAll(p, []entry{
+	return registerAll(p, []commandSpec{
 		{"dump", "show a node's state", dumpLong, &dumpCommand{}},
 		{"explain", "say which target a request would go to, and why", explainLong, &explainCommand{}},
 		{"status", "compare many nodes", statusLong, &statusCommand{}},
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -29,8 +29,8 @@
 	return code, o.String(), e.String()
 }
 
-// written writes a fleet's documents into a directory.
-func written(t *testing.T, f fleet.Fleet) string {
+// writeDocuments writes a fleet's documents to a temporary directory and returns it.
+func writeDocuments(t *testing.T, f fleet.Fleet) string {
 	t.Helper()
 	pub, err := f.Print()
 	require.NoError(t, err)
@@ -39,15 +39,16 @@
 	return dir
 }
 
-func file(t *testing.T, text string) string {
+func writeTempFile(t *testing.T, text string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(name, []byte(text), 0o644))
 	return name
 }
 
-// answers serves fixed answers of a node's administration API, by path.
-func answers(t *testing.T, byPath map[string]any) string {
+// serveAnswers starts a server with fixed answers of a node's administration API, by
+// path. It returns the server's address.
+func serveAnswers(t *testing.T, byPath map[string]any) string {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		answer, ok := byPath[r.URL.Path]
@@ -65,8 +66,8 @@
 	return srv.Listener.Addr().String()
 }
 
-// closedPort is an address at which nothing listens.
-func closedPort(t *testing.T) string {
+// unusedAddress returns an address that no server listens on.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -74,13 +75,13 @@
 	return l.Addr().String()
 }
 
-func TestWrongInputGivesOneLine(t *testing.T) {
-	good := written(t, deployments.Eisbruecke(1))
-	noIndex := written(t, deployments.Eisbruecke(1))
+func TestInvalidInputPrintsOneErrorLine(t *testing.T) {
+	good := writeDocuments(t, deployments.Eisbruecke(1))
+	noIndex := writeDocuments(t, deployments.Eisbruecke(1))
 	require.NoError(t, os.Remove(filepath.Join(noIndex, fleet.IndexKey)))
-	half := written(t, deployments.Eisbruecke(1))
-	require.NoError(t, os.RemoveAll(filepath.Join(half, "service")))
-	down, garbled := closedPort(t), answers(t, map[string]any{
+	noServices := writeDocuments(t, deployments.Eisbruecke(1))
+	require.NoError(t, os.RemoveAll(filepath.Join(noServices, "service")))
+	down, garbled := unusedAddress(t), serveAnswers(t, map[string]any{
 		admin.PathDump: "<html>", admin.PathStatus: "<html>", admin.PathExplain: "<html>", admin.PathDocuments: "x",
 	})
 	tests := []struct {
@@ -95,10 +96,10 @@
 		{"too many arguments", "version now", ExitUsage, `unexpected argument "now"`},
 		{"check: none", "config check", ExitUsage, "SOURCE"},
 		{"check: no such directory", "config check /nowhere", ExitFailed, "/nowhere can't be read"},
-		{"check: no documents", "config check " + file(t, "x = 1"), ExitFailed, "no line"},
+		{"check: no documents", "config check " + writeTempFile(t, "x = 1"), ExitFailed, "no line"},
 		{"check: no index", "config check " + noIndex, ExitFailed, `there is no document "index"`},
-		{"check: no services", "config check " + half, ExitFailed, "is missing"},
-		{"check: bad index", "config check " + file(t, "; key: index\n[index]\nrevision = no\n"), ExitFailed, `"no" is no whole number`},
+		{"check: no services", "config check " + noServices, ExitFailed, "is missing"},
+		{"check: bad index", "config check " + writeTempFile(t, "; key: index\n[index]\nrevision = no\n"), ExitFailed, `"no" is no whole number`},
 		{"check: platform down", "config check http://" + down, ExitFailed, "the index can't be read"},
 		{"check: no URL", "config check http://", ExitUsage, "is no http URL"},
 		{"print: none", "config print", ExitUsage, "SOURCE"},
@@ -115,14 +116,14 @@
 		{"dump: garbled table", "dump --table " + garbled, ExitFailed, "didn't answer as a node does"},
 		{"explain: no request", "explain 127.0.0.1:7400", ExitUsage, "REQUEST"},
 		{"explain: no service", "explain 127.0.0.1:7400 /path", ExitUsage, `"/path" is no SERVICE/PATH`},
-		{"explain: unknown service", "explain " + answers(t, nil) + " x/y", ExitFailed, `no service "x" is declared`},
+		{"explain: unknown service", "explain " + serveAnswers(t, nil) + " x/y", ExitFailed, `no service "x" is declared`},
 		{"explain: garbled", "explain " + garbled + " x/y", ExitFailed, "didn't answer as a node does"},
 		{"status: none", "status", ExitUsage, "a NODE or --nodes FILE is needed"},
 		{"status: no address", "status 127.0.0.1", ExitUsage, "is no IP:PORT"},
 		{"status: no table", "status --nodes /nowhere", ExitFailed, "/nowhere can't be read"},
-		{"status: another table", "status --nodes " + file(t, "vm\tzone\n"), ExitFailed, `no column "admin address"`},
-		{"status: empty table", "status --nodes " + file(t, "vm\tadmin address\n"), ExitFailed, "lists no node"},
-		{"status: short line", "status --nodes " + file(t, "vm\tadmin address\nx\n"), ExitFailed, "a line is too short"},
+		{"status: another table", "status --nodes " + writeTempFile(t, "vm\tzone\n"), ExitFailed, `no column "admin address"`},
+		{"status: empty table", "status --nodes " + writeTempFile(t, "vm\tadmin address\n"), ExitFailed, "lists no node"},
+		{"status: short line", "status --nodes " + writeTempFile(t, "vm\tadmin address\nx\n"), ExitFailed, "a line is too short"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -136,13 +137,13 @@
 	}
 }
 
-func TestSettingsCheckListsEveryFault(t *testing.T) {
-	code, _, errOut := runTool("settings", "check", file(t, "[node]\nvm = X!\nmood = good\n"))
+func TestSettingsCheckListsEveryError(t *testing.T) {
+	code, _, errOut := runTool("settings", "check", writeTempFile(t, "[node]\nvm = X!\nmood = good\n"))
 	require.Equal(t, ExitFailed, code)
 	require.Contains(t, errOut, `:2: node.vm: "X!" is no name`)
 	require.Contains(t, errOut, ":3: node.mood: unknown key")
 	require.Contains(t, errOut, "listen.callers: missing")
-	code, out, _ := runTool("settings", "check", file(t, `[node]
+	code, out, _ := runTool("settings", "check", writeTempFile(t, `[node]
 vm = orders-1
 fleet = shop
 region = rs
@@ -160,13 +161,13 @@
 	require.Contains(t, out, "good: VM orders-1 of fleet shop in rs-a (rs)")
 }
 
-func TestCheckAndPrint(t *testing.T) {
-	dir := written(t, deployments.CestaViva(3))
+func TestConfigPrintOutputCanBeReadBack(t *testing.T) {
+	dir := writeDocuments(t, deployments.CestaViva(3))
 	code, out, _ := runTool("config", "check", dir)
 	require.Equal(t, ExitOK, code)
 	require.Contains(t, out, "good: fleet cesta-viva, revision 3, 3 services, 18 targets")
 
-	// What is printed is read again from a file, a platform and a node.
+	// The printed stream can be read back from a file, a platform and a node.
 	code, stream, _ := runTool("config", "print", dir)
 	require.Equal(t, ExitOK, code)
 	docs, err := fleet.Split([]byte(stream))
@@ -176,7 +177,7 @@
 		published["/v1/values/"+key] = string(text)
 	}
 	for _, source := range []string{
-		file(t, stream), "http://" + answers(t, published), answers(t, map[string]any{admin.PathDocuments: stream}),
+		writeTempFile(t, stream), "http://" + serveAnswers(t, published), serveAnswers(t, map[string]any{admin.PathDocuments: stream}),
 	} {
 		code, again, errOut := runTool("config", "print", source)
 		require.Equal(t, ExitOK, code, errOut)
@@ -189,21 +190,21 @@
 	require.Len(t, f.Services, 3)
 }
 
-func TestDiffWarnsByItsExitCode(t *testing.T) {
-	before, after := written(t, deployments.Eisbruecke(1)), deployments.Eisbruecke(2)
+func TestDiffWithWarningExitsWithFindings(t *testing.T) {
+	before, after := writeDocuments(t, deployments.Eisbruecke(1)), deployments.Eisbruecke(2)
 	code, out, _ := runTool("config", "diff", before, before)
 	require.Equal(t, ExitOK, code)
 	require.Equal(t, "nothing changes\n", out)
-	code, out, _ = runTool("config", "diff", before, written(t, after))
+	code, out, _ = runTool("config", "diff", before, writeDocuments(t, after))
 	require.Equal(t, ExitOK, code)
 	require.Equal(t, "note: fleet: revision rises from 1 to 2\n", out)
 
 	cargo := &after.Services[1]
 	cargo.Routes[2].Idempotent = true
-	code, out, _ = runTool("config", "diff", before, written(t, after))
+	code, out, _ = runTool("config", "diff", before, writeDocuments(t, after))
 	require.Equal(t, ExitFound, code)
 	require.Contains(t, out, "/bookings/* goes from at most once to idempotent: requests may be repeated")
-	code, out, _ = runTool("config", "diff", "--json", before, written(t, after))
+	code, out, _ = runTool("config", "diff", "--json", before, writeDocuments(t, after))
 	require.Equal(t, ExitFound, code)
 	var changes []diff.Change
 	require.NoError(t, json.Unmarshal([]byte(out), &changes))
@@ -218,17 +219,17 @@
 }
 
 func TestStatusComparesNodes(t *testing.T) {
-	serve := func(s admin.Status) string { return answers(t, map[string]any{admin.PathStatus: s}) }
+	serve := func(s admin.Status) string { return serveAnswers(t, map[string]any{admin.PathStatus: s}) }
 	a, b := serve(nodeStatus("orders-1", 7, "aa")), serve(nodeStatus("orders-2", 7, "aa"))
-	table := file(t, "vm\tadmin address\tpid\norders-1\t"+a+"\t1\norders-2\t"+b+"\t2\n")
+	table := writeTempFile(t, "vm\tadmin address\tpid\norders-1\t"+a+"\t1\norders-2\t"+b+"\t2\n")
 	code, out, _ := runTool("status", "--nodes", table)
 	require.Equal(t, ExitOK, code, out)
 	require.Contains(t, out, "2 nodes; revision spread 0\nrevision 7: 2 nodes\nversion v1")
 	require.Contains(t, out, "orders-9")
 
-	behind := nodeStatus("orders-3", 5, "bb")
-	behind.Serving, behind.Refused = false, "revision 7: not INI"
-	code, out, _ = runTool("status", a, serve(behind), closedPort(t))
+	stale := nodeStatus("orders-3", 5, "bb")
+	stale.Serving, stale.Refused = false, "revision 7: not INI"
+	code, out, _ = runTool("status", a, serve(stale), unusedAddress(t))
 	require.Equal(t, ExitFound, code)
 	for _, want := range []string{
 		"2 configurations are in force, 2 revisions apart", "orders-3 doesn't serve",
@@ -243,12 +244,12 @@
 	require.Equal(t, map[uint64]int{7: 2}, r.Revisions)
 }
 
-func TestDumpAndExplain(t *testing.T) {
+func TestDumpAndExplainPrintNodeState(t *testing.T) {
 	d := admin.Dump{Targets: map[string]admin.TargetState{"orders-2": {VM: "orders-2", State: admin.StateLeaving}}}
 	d.Control.Self.Place = pick.Place{VM: "orders-1", Zone: "rs-a", Region: "rs"}
 	d.Control.Members = map[string]core.MemberDump{"orders-2": {Incarnation: 0xbeef}}
 	d.Control.VMs.Rows = map[string]platform.VM{"orders-2": {State: platform.VMLeaving}}
-	node := answers(t, map[string]any{admin.PathDump: d, admin.PathExplain: admin.Explanation{
+	node := serveAnswers(t, map[string]any{admin.PathDump: d, admin.PathExplain: admin.Explanation{
 		Service: "orders", Team: "store", Runs: fleet.RunsAtMostOnce, Chosen: "orders-2", Why: "because",
 		Limits: []admin.Limit{{What: "queue at each target", Value: 16}},
 	}})
@@ -268,7 +269,7 @@
 	}
 }
 
-func TestRequestQuery(t *testing.T) {
+func TestRequestQueryFromServiceOrURL(t *testing.T) {
 	for request, want := range map[string]string{
 		"orders/a/b":              "method=PUT&path=%2Fa%2Fb&service=orders",
 		"orders":                  "method=PUT&path=%2F&service=orders",
@@ -295,7 +296,7 @@
 	require.Contains(t, out, "Exit codes")
 }
 
-func TestTheReferenceIsCurrent(t *testing.T) {
+func TestReferencePageIsUpToDate(t *testing.T) {
 	const page = "../../docs/cli.md"
 	got, err := Reference()
 	require.NoError(t, err)
@@ -304,7 +305,7 @@
 	}
 	want, err := os.ReadFile(page)
 	require.NoError(t, err)
-	require.Equal(t, string(want), got, "write it anew with UPDATE=1 go test ./internal/cli")
+	require.Equal(t, string(want), got, "regenerate it with UPDATE=1 go test ./internal/cli")
 }
 
 func TestVersionAndCompletion(t *testing.T) {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	return addAll(group, []entry{
+	return registerAll(group, []commandSpec{
 		{"check", "check documents", checkLong, &configCheck{stdin: stdin}},
 		{"print", "print documents as a node would read them", printLong, &configPrint{stdin: stdin}},
 		{"diff", "say what changes for callers", diffLong, &configDiff{stdin: stdin}},
@@ -83,7 +83,7 @@
 	return err
 }
 
-// declaration puts the services back into the fleet.
+// declaration returns the fleet with its services, in the order of the index.
 func declaration(c *config.Config) fleet.Fleet {
 	f := c.Index.Fleet
 	for _, e := range c.Index.Entries {
@@ -116,7 +116,7 @@
 		return err
 	}
 	if slices.ContainsFunc(changes, func(c diff.Change) bool { return c.Level == diff.Warning }) {
-		return errFound
+		return errFindings
 	}
 	return nil
 }
--- a/internal/cli/dump.go
+++ b/internal/cli/dump.go
@@ -29,7 +29,7 @@
 }
 
 func (c *dumpCommand) run(out io.Writer) error {
-	text, err := ask(c.Args.Node, admin.PathDump)
+	text, err := fetch(c.Args.Node, admin.PathDump)
 	if err != nil {
 		return err
 	}
@@ -73,12 +73,12 @@
 		if vm, ok := d.Control.VMs.Rows[name]; ok {
 			listed = string(vm.State)
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%x\t%s ago\t%d\n", name, listed, memberWord(m.State), m.Incarnation,
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%x\t%s ago\t%d\n", name, listed, memberStateName(m.State), m.Incarnation,
 			m.HeardAgo.Round(time.Millisecond), m.Failures)
 	}
 }
 
-func memberWord(s wire.MemberState) string {
+func memberStateName(s wire.MemberState) string {
 	switch s {
 	case wire.MemberAlive:
 		return "alive"
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	e, err := askFor[admin.Explanation](c.Args.Node, admin.PathExplain+"?"+query.Encode())
+	e, err := fetchJSON[admin.Explanation](c.Args.Node, admin.PathExplain+"?"+query.Encode())
 	if err != nil {
 		return err
 	}
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -43,8 +43,8 @@
 Example:
   limpetdock load --to 127.10.1.1:7100 --service catalogue --rate 200 --duration 10s`
 
-// progressEvery is how often a run says how far it is.
-const progressEvery = 5 * time.Second
+// progressInterval is the time between progress lines of a run.
+const progressInterval = 5 * time.Second
 
 type loadCommand struct {
 	command
@@ -83,33 +83,33 @@
 	defer client.Close()
 	o := load.Options{Sender: client}
 	if !c.Quiet {
-		o.Progress, o.Every = showProgress(os.Stderr, plan.Duration), progressEvery
+		o.Progress, o.Every = showProgress(os.Stderr, plan.Duration), progressInterval
 	}
 	report := load.Run(ctx, plan, o)
 	if err := c.write(out, report); err != nil {
 		return err
 	}
-	return verdict(report)
+	return checkReport(report)
 }
 
-// verdict says why a run that ended is no good measurement.
-func verdict(r *load.Report) error {
+// checkReport returns an error if the run isn't a valid measurement.
+func checkReport(r *load.Report) error {
 	switch {
 	case r.All.Outcomes[load.OK] == 0:
 		return eris.New("no call was answered by a backend server")
 	case !r.Kept():
-		return eris.Errorf("the schedule wasn't kept: %d of %d calls began late; take a lower rate or more --workers", r.Late, r.All.Calls)
+		return eris.Errorf("the schedule wasn't kept: %d of %d calls began late; use a lower rate or more --workers", r.Late, r.All.Calls)
 	}
 	return nil
 }
 
-func showProgress(w io.Writer, whole time.Duration) func(load.Progress) {
+func showProgress(w io.Writer, total time.Duration) func(load.Progress) {
 	return func(p load.Progress) {
-		_, _ = fmt.Fprintf(w, "%v of %v: %d sent, %d answered, %d ok\n", p.After.Round(time.Second), whole, p.Sent, p.Answered, p.OK)
+		_, _ = fmt.Fprintf(w, "%v of %v: %d sent, %d answered, %d ok\n", p.After.Round(time.Second), total, p.Sent, p.Answered, p.OK)
 	}
 }
 
-// plan joins the plan file and the flags, which win.
+// plan returns the plan of the file or the flags. Flags override the file.
 func (c *loadCommand) plan() (load.Plan, error) {
 	p, err := c.source()
 	if err != nil {
@@ -120,11 +120,11 @@
 	return p, p.Check()
 }
 
-// source reads the plan file, or makes a plan of one kind out of the flags.
+// source reads the plan file, or builds a plan with one kind from the flags.
 func (c *loadCommand) source() (load.Plan, error) {
-	given := c.Service+c.Method+c.Path != "" || c.Body != 0 || c.Timeout != 0 || len(c.Chain) > 0
+	hasKindFlags := c.Service+c.Method+c.Path != "" || c.Body != 0 || c.Timeout != 0 || len(c.Chain) > 0
 	switch {
-	case c.Plan != "" && given:
+	case c.Plan != "" && hasKindFlags:
 		return load.Plan{}, eris.New("--service, --method, --path, --body, --timeout and --chain don't go with --plan")
 	case c.Plan != "":
 		return readPlan(c.Plan)
--- a/internal/cli/load_test.go
+++ b/internal/cli/load_test.go
@@ -15,7 +15,7 @@
 	"github.com/limpetdock/limpetdock/internal/load"
 )
 
-func TestLoadRefusesWrongPlansWithTheReason(t *testing.T) {
+func TestLoadRejectsInvalidPlansWithReason(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "plan.ini")
 	require.NoError(t, os.WriteFile(file, []byte("[load]\nrate = fast\n"), 0o600))
 	for args, reason := range map[string]string{
@@ -37,13 +37,13 @@
 	}
 }
 
-func TestLoadReportsInEveryForm(t *testing.T) {
+func TestLoadWritesTextJSONAndPlot(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
 	dir := t.TempDir()
 	asJSON, plot := filepath.Join(dir, "r.json"), filepath.Join(dir, "r.html")
 	var out, errOut bytes.Buffer
-	// Whether the schedule is kept, and so the exit code, is the machine's matter.
+	// The exit code isn't checked: on a loaded machine the schedule may not be kept.
 	Main([]string{
 		"load", "--quiet", "--to", strings.TrimPrefix(server.URL, "http://"), "--service", "a", "--rate", "200",
 		"--duration", "250ms", "--arrivals", "constant", "--json", asJSON, "--plot", plot,
@@ -59,19 +59,19 @@
 	require.Contains(t, string(text), "all p99.9")
 }
 
-func TestExamplePlanIsRight(t *testing.T) {
+func TestExamplePlanIsValid(t *testing.T) {
 	p, err := (&loadCommand{Plan: "../../examples/load/cestaviva.ini"}).plan()
 	require.NoError(t, err)
 	require.Len(t, p.Kinds, 4)
 	require.Len(t, p.Kinds[3].Chain, load.MaxChain)
 }
 
-// A run that wasn't sent as planned, or to nobody, must not pass for a
-// measurement in a script.
-func TestLoadFailsWhenItMeasuredNothing(t *testing.T) {
+// Guards against a script that accepts a run as a measurement although calls were
+// sent late or none was answered.
+func TestLoadFailsIfLateOrUnanswered(t *testing.T) {
 	good := &load.Report{All: load.Row{Calls: 10, Outcomes: map[load.Outcome]int{load.OK: 1}}}
-	require.NoError(t, verdict(good))
-	require.Error(t, verdict(&load.Report{All: load.Row{Calls: 10}}))
+	require.NoError(t, checkReport(good))
+	require.Error(t, checkReport(&load.Report{All: load.Row{Calls: 10}}))
 	good.Late = 1
-	require.ErrorContains(t, verdict(good), "wasn't kept")
+	require.ErrorContains(t, checkReport(good), "wasn't kept")
 }
--- a/internal/cli/reference.go
+++ b/internal/cli/reference.go
@@ -8,13 +8,13 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// daemonText points to the daemon, which has no commands of its own.
+// daemonText refers to the daemon, which has no subcommands in this tool.
 const daemonText = "The node is another program: `limpetdockd --settings FILE [--check]`, described in " +
 	"[settings](operators/settings.md), and `limpetdockd mesh --settings FILE [--check]` for deployments whose " +
 	"targets register themselves, in [platform](operators/platform.md). The commands below ask the first kind; " +
 	"a mesh node tells its state by `curl http://IP:9464/state`."
 
-// Reference gives the reference of all commands as Markdown, for docs/cli.md.
+// Reference returns the reference of all commands as Markdown, for docs/cli.md.
 func Reference() (string, error) {
 	p, err := newParser(nil)
 	if err != nil {
@@ -25,21 +25,21 @@
 	b.WriteString(exitCodesText + "\n\nShell completion: `source <(limpetdock completion)`.\n")
 	b.WriteString("\n" + daemonText + "\n")
 	for _, c := range p.Commands() {
-		describe(&b, "limpetdock", c)
+		writeCommand(&b, "limpetdock", c)
 	}
 	return b.String(), nil
 }
 
-func describe(b *strings.Builder, prefix string, c *flags.Command) {
+func writeCommand(b *strings.Builder, prefix string, c *flags.Command) {
 	name := prefix + " " + c.Name
 	if len(c.Commands()) > 0 {
 		for _, sub := range c.Commands() {
-			describe(b, name, sub)
+			writeCommand(b, name, sub)
 		}
 		return
 	}
 	fmt.Fprintf(b, "\n## %s\n\n    %s\n\n", name, name+usage(c))
-	writeLong(b, c.LongDescription)
+	writeLongDescription(b, c.LongDescription)
 	if len(c.Options())+len(c.Args()) == 0 {
 		return
 	}
@@ -82,8 +82,9 @@
 	return name
 }
 
-// writeLong writes a long description: text as it is, indented lines as code.
-func writeLong(b *strings.Builder, long string) {
+// writeLongDescription writes a long description as Markdown. Indented lines become
+// code blocks.
+func writeLongDescription(b *strings.Builder, long string) {
 	inCode := false
 	for line := range strings.SplitSeq(long, "\n") {
 		example, code := strings.CutPrefix(line, "  ")
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return err
 	}
-	return addAll(group, []entry{{"check", "check a settings file", settingsCheckLong, &settingsCheck{}}})
+	return registerAll(group, []commandSpec{{"check", "check a settings file", settingsCheckLong, &settingsCheck{}}})
 }
 
 type settingsCheck struct {
--- a/internal/cli/slow_test.go
+++ b/internal/cli/slow_test.go
@@ -13,14 +13,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// oneConn is a listener that gives one connection.
-type oneConn struct {
+// singleConnListener is a listener that accepts a single connection.
+type singleConnListener struct {
 	conns  chan net.Conn
 	once   sync.Once
 	closed chan struct{}
 }
 
-func (l *oneConn) Accept() (net.Conn, error) {
+func (l *singleConnListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -29,24 +29,25 @@
 	}
 }
 
-func (l *oneConn) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
-func (l *oneConn) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *singleConnListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
+func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// askSlow asks a node that answers with h, over a pipe and in a bubble's time.
-func askSlow(h http.HandlerFunc) ([]byte, error) {
-	near, far := net.Pipe()
-	l := &oneConn{conns: make(chan net.Conn, 1), closed: make(chan struct{})}
-	l.conns <- far
+// fetchFromHandler fetches from a server with handler h over an in-memory pipe, so
+// that synctest's fake clock applies.
+func fetchFromHandler(h http.HandlerFunc) ([]byte, error) {
+	clientConn, serverConn := net.Pipe()
+	l := &singleConnListener{conns: make(chan net.Conn, 1), closed: make(chan struct{})}
+	l.conns <- serverConn
 	server := &http.Server{Handler: h}
 	go func() { _ = server.Serve(l) }()
 	defer func() { _ = server.Close() }()
-	transport := &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) { return near, nil }}
+	transport := &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) { return clientConn, nil }}
 	defer transport.CloseIdleConnections()
-	return askOver(&http.Client{Transport: transport}, "127.0.0.1:7400", "/v1/dump")
+	return fetchWith(&http.Client{Transport: transport}, "127.0.0.1:7400", "/v1/dump")
 }
 
-// pieces answers with so many pieces, each after a pause.
-func pieces(n int, pause time.Duration) http.HandlerFunc {
+// slowResponse returns a handler that writes n pieces, with a pause after each.
+func slowResponse(n int, pause time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for range n {
 			_, _ = w.Write([]byte("piece "))
@@ -60,28 +61,28 @@
 	}
 }
 
-// Guards against an answer that is given up while it comes, as over a slow link, however
-// often an operator asks again.
-func TestASlowAnswerOfANodeIsReadToItsEnd(t *testing.T) {
+// Guards against a time limit on the whole answer: over a slow link, a large answer
+// would then fail on every attempt although data keeps arriving.
+func TestSlowNodeResponseIsReadInFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		text, err := askSlow(pieces(100, askTimeout/10))
+		text, err := fetchFromHandler(slowResponse(100, stallTimeout/10))
 		require.NoError(t, err)
 		require.Equal(t, strings.Repeat("piece ", 100), string(text))
 	})
 }
 
-// Guards against a command that waits for good for a node that hangs.
-func TestAStalledAnswerOfANodeIsGivenUp(t *testing.T) {
+// Guards against a command that waits forever for a node that hangs.
+func TestStalledNodeResponseTimesOut(t *testing.T) {
 	for name, h := range map[string]http.HandlerFunc{
 		"before it begins": func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"half way":         pieces(2, time.Hour),
+		"half way":         slowResponse(2, time.Hour),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				start := time.Now()
-				_, err := askSlow(h)
+				_, err := fetchFromHandler(h)
 				require.Error(t, err)
-				require.Less(t, time.Since(start), time.Minute, "in the bubble's time")
+				require.Less(t, time.Since(start), time.Minute, "in synctest's fake time")
 			})
 		})
 	}
--- a/internal/cli/source.go
+++ b/internal/cli/source.go
@@ -19,16 +19,16 @@
 const sourceHelp = "A source is a directory that an example wrote with --out, a file or - with the " +
 	"stream that it prints, the base URL of a platform (http://IP:PORT), or a node's administration API (IP:PORT)."
 
-// maxStream bounds a stream of documents, in bytes.
+// maxStream is the maximum size of a stream of documents, in bytes.
 const maxStream = 64 << 20
 
-// source is where documents are read from.
+// source is a place that configuration documents are read from.
 type source struct {
 	name  string
 	stdin io.Reader
 }
 
-// config reads the whole configuration, as a node would.
+// config reads and validates the whole configuration, as a node does.
 func (s source) config() (*config.Config, error) {
 	docs, err := s.documents()
 	if err != nil {
@@ -47,8 +47,8 @@
 		return s.stream(s.stdin)
 	case strings.HasPrefix(s.name, "http://"):
 		return s.fromPlatform()
-	case checkNode(s.name) == nil:
-		text, err := ask(s.name, admin.PathDocuments)
+	case checkNodeAddress(s.name) == nil:
+		text, err := fetch(s.name, admin.PathDocuments)
 		if err != nil {
 			return nil, err
 		}
@@ -81,7 +81,7 @@
 	return docs, nil
 }
 
-// fromPlatform reads the index and the documents it names.
+// fromPlatform reads the index and the documents that it lists.
 func (s source) fromPlatform() (map[string][]byte, error) {
 	base, err := url.Parse(s.name)
 	if err != nil || base.Host == "" {
@@ -91,7 +91,7 @@
 	defer client.Close()
 	index, err := client.Read(context.Background(), fleet.IndexKey)
 	if err != nil {
-		return nil, eris.Errorf("%s: the index can't be read: %v", s.name, cause(err))
+		return nil, eris.Errorf("%s: the index can't be read: %v", s.name, rootCause(err))
 	}
 	docs := map[string][]byte{fleet.IndexKey: index.Text}
 	idx, err := config.ParseIndex(index.Text)
@@ -101,17 +101,17 @@
 	for _, e := range idx.Entries {
 		v, err := client.Read(context.Background(), e.Key)
 		if errors.Is(err, platform.ErrNotFound) {
-			continue // said of the whole, with the name of the document
+			continue // config.FromDocuments reports the missing document by name
 		}
 		if err != nil {
-			return nil, eris.Errorf("%s: %s can't be read: %v", s.name, e.Key, cause(err))
+			return nil, eris.Errorf("%s: %s can't be read: %v", s.name, e.Key, rootCause(err))
 		}
 		docs[e.Key] = v.Text
 	}
 	return docs, nil
 }
 
-// fileCause strips the path that package os puts before its errors.
+// fileCause removes the path that package os adds to its errors.
 func fileCause(err error) error {
 	var path *os.PathError
 	if errors.As(err, &path) {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -23,8 +23,8 @@
 	"\n\nExamples:\n  limpetdock status 127.10.1.1:7400 127.10.2.1:7400\n  limpetdock status --nodes build/demo/nodes.tsv\n" +
 	"  limpetdock status --json --nodes build/demo/nodes.tsv"
 
-// maxAsking is how many nodes are asked at once.
-const maxAsking = 32
+// maxConcurrentFetches is the maximum number of concurrent requests to nodes.
+const maxConcurrentFetches = 32
 
 type statusCommand struct {
 	command
@@ -35,24 +35,24 @@
 	} `positional-args:"true"`
 }
 
-// Report is what status prints as JSON.
+// Report is the JSON output of the status command.
 type Report struct {
 	Nodes []NodeReport `json:"nodes"`
-	// Revisions counts the nodes under each revision; Spread is the difference
-	// between the highest and the lowest.
+	// Revisions is the number of nodes at each configuration revision. Spread is the
+	// difference between the highest and the lowest revision if configurations differ.
 	Revisions map[uint64]int `json:"revisions"`
 	Spread    uint64         `json:"revision_spread"`
-	// Builds counts the nodes of each version of the program.
+	// Builds is the number of nodes running each version of the program.
 	Builds map[string]int `json:"builds"`
-	// Found is what there is to look at, a line each.
-	Found []string `json:"found"`
+	// Findings lists what needs attention, one line each.
+	Findings []string `json:"found"`
 }
 
-// NodeReport is one node's row.
+// NodeReport is the status of one node.
 type NodeReport struct {
 	Node   string        `json:"node"`
 	Status *admin.Status `json:"status,omitempty"`
-	// Error says why the node couldn't be asked.
+	// Error is the reason why the status couldn't be fetched.
 	Error string `json:"error,omitempty"`
 }
 
@@ -69,23 +69,23 @@
 		return usagef("a NODE or --nodes FILE is needed")
 	}
 	for _, n := range nodes {
-		if err := checkNode(n); err != nil {
+		if err := checkNodeAddress(n); err != nil {
 			return err
 		}
 	}
-	r := compare(askAll(nodes))
+	r := compare(fetchStatuses(nodes))
 	if err := c.print(out, r); err != nil {
 		return err
 	}
-	if len(r.Found) > 0 {
-		return errFound
+	if len(r.Findings) > 0 {
+		return errFindings
 	}
 	return nil
 }
 
 const adminColumn = "admin address"
 
-// readNodes gives the administration addresses of a table of nodes.
+// readNodes returns the administration addresses in a table of nodes.
 func readNodes(file string) ([]string, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -115,17 +115,18 @@
 	return nodes, nil
 }
 
-// askAll asks every node, some at once, and gives the rows in their order.
-func askAll(nodes []string) []NodeReport {
+// fetchStatuses fetches the status of every node, up to maxConcurrentFetches at
+// once. It returns the rows in the order of nodes.
+func fetchStatuses(nodes []string) []NodeReport {
 	rows := make([]NodeReport, len(nodes))
-	slots := make(chan struct{}, maxAsking)
+	slots := make(chan struct{}, maxConcurrentFetches)
 	var wg sync.WaitGroup
 	for i, node := range nodes {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
 			rows[i].Node = node
-			s, err := askFor[admin.Status](node, admin.PathStatus)
+			s, err := fetchJSON[admin.Status](node, admin.PathStatus)
 			if err != nil {
 				rows[i].Error = err.Error()
 				return
@@ -138,28 +139,28 @@
 }
 
 func compare(rows []NodeReport) Report {
-	r := Report{Nodes: rows, Revisions: map[uint64]int{}, Builds: map[string]int{}, Found: []string{}}
+	r := Report{Nodes: rows, Revisions: map[uint64]int{}, Builds: map[string]int{}, Findings: []string{}}
 	digests := map[string]bool{}
 	for _, row := range rows {
 		s := row.Status
 		if s == nil {
-			r.Found = append(r.Found, row.Error)
+			r.Findings = append(r.Findings, row.Error)
 			continue
 		}
 		r.Revisions[s.Config.Revision]++
 		r.Builds[s.Build.String()]++
 		digests[s.Config.Digest] = true
 		if !s.Serving {
-			r.Found = append(r.Found, s.VM+" doesn't serve")
+			r.Findings = append(r.Findings, s.VM+" doesn't serve")
 		}
 		if s.Refused != "" {
-			r.Found = append(r.Found, s.VM+" refused a configuration: "+s.Refused)
+			r.Findings = append(r.Findings, s.VM+" refused a configuration: "+s.Refused)
 		}
 	}
 	if len(digests) > 1 {
 		revisions := slices.Sorted(maps.Keys(r.Revisions))
 		r.Spread = revisions[len(revisions)-1] - revisions[0]
-		r.Found = append(r.Found, fmt.Sprintf("%d configurations are in force, %d revisions apart", len(digests), r.Spread))
+		r.Findings = append(r.Findings, fmt.Sprintf("%d configurations are in force, %d revisions apart", len(digests), r.Spread))
 	}
 	return r
 }
@@ -192,10 +193,10 @@
 		state = "leaving"
 	}
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d/%d\t%d\t%s\t%s\n", s.VM, s.Zone, s.Config, s.InForceFor.Round(time.Second),
-		state, s.Load.InUse, s.Load.Slots, s.Load.Waiting, listWord(s.Leavers), listWord(s.Suspects))
+		state, s.Load.InUse, s.Load.Slots, s.Load.Waiting, joinOrDash(s.Leavers), joinOrDash(s.Suspects))
 }
 
-func listWord(names []string) string {
+func joinOrDash(names []string) string {
 	if len(names) == 0 {
 		return "-"
 	}
@@ -210,7 +211,7 @@
 	for _, build := range slices.Sorted(maps.Keys(r.Builds)) {
 		_, _ = fmt.Fprintf(out, "version %s: %d nodes\n", build, r.Builds[build])
 	}
-	for _, f := range r.Found {
+	for _, f := range r.Findings {
 		_, _ = fmt.Fprintf(out, "look at: %s\n", f)
 	}
 	return nil
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -27,8 +27,8 @@
 	return err
 }
 
-// completionScript has the tool itself say what may follow: the flags library
-// answers with it when this variable is set.
+// completionScript calls the tool itself to list completions: the flags library
+// prints them if GO_FLAGS_COMPLETION is set.
 const completionScript = `_limpetdock() {
     local args=("${COMP_WORDS[@]:1:$COMP_CWORD}")
     local IFS=$'\n'
