--- a/standin/relay/hold.go
+++ b/standin/relay/hold.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// holdPoll is how often a held connection looks whether it may go on.
+// holdPoll is how often a held connection checks whether its hold was removed.
 const holdPoll = 2 * time.Millisecond
 
-// write passes bytes on; what a hold keeps back waits until it is taken away.
+// write forwards data to dst. Bytes covered by a hold fault are written once
+// the fault is removed.
 func (p *pipe) write(dst net.Conn, data []byte, from, to string) bool {
 	after, held := p.relay.hold(from, to, p.route.Target)
 	if held {
@@ -19,18 +20,18 @@
 			return false
 		}
 		data = data[first:]
-		p.wait(from, to)
+		p.waitForRelease(from, to)
 	}
-	if p.silent.Load() || p.relay.now(from, to).Drop {
+	if p.silent.Load() || p.relay.activeFault(from, to).Drop {
 		return true
 	}
 	_, err := dst.Write(data)
 	return err == nil
 }
 
-func (p *pipe) wait(from, to string) {
-	p.holding.Add(1)
-	defer p.holding.Add(-1)
+func (p *pipe) waitForRelease(from, to string) {
+	p.heldDirections.Add(1)
+	defer p.heldDirections.Add(-1)
 	for {
 		if _, held := p.relay.hold(from, to, p.route.Target); !held {
 			return
@@ -39,8 +40,8 @@
 	}
 }
 
-// hold says whether bytes from one zone to another are held on connections to
-// a target, and after how many bytes of a write.
+// hold reports whether bytes from one zone to another are held on connections
+// to target, and after how many bytes of a write.
 func (r *relay) hold(from, to, target string) (after int, held bool) {
 	_, port, _ := net.SplitHostPort(target)
 	r.mu.Lock()
@@ -53,13 +54,13 @@
 	return 0, false
 }
 
-// heldNow lists the targets of the connections that are held.
-func (r *relay) heldNow(w http.ResponseWriter, _ *http.Request) {
+// serveHeld lists the targets of connections with held bytes.
+func (r *relay) serveHeld(w http.ResponseWriter, _ *http.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	targets := []string{}
 	for p := range r.pipes {
-		if p.holding.Load() > 0 {
+		if p.heldDirections.Load() > 0 {
 			targets = append(targets, p.route.Target)
 		}
 	}
--- a/standin/relay/limit.go
+++ b/standin/relay/limit.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// limiter spaces out the bytes of one link: its connections and both directions share
-// the bandwidth.
+// limiter limits the bandwidth of one link. All connections of the link, in
+// both directions, share it.
 type limiter struct {
-	mu   sync.Mutex
-	free time.Time
+	mu       sync.Mutex
+	nextFree time.Time
 }
 
-// wait waits until bytes have gone over the link.
+// wait blocks until n bytes have passed the link.
 func (l *limiter) wait(n, bytesPerSec int) {
 	time.Sleep(time.Until(l.reserve(time.Now(), n, bytesPerSec)))
 }
 
-// reserve gives when bytes that are ready now have gone over the link, after those
-// that were ready before them.
+// reserve returns the time at which n bytes that are ready at now have passed
+// the link, queued after all earlier reservations.
 func (l *limiter) reserve(now time.Time, n, bytesPerSec int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.free.Before(now) {
-		l.free = now
+	if l.nextFree.Before(now) {
+		l.nextFree = now
 	}
-	l.free = l.free.Add(time.Duration(n) * time.Second / time.Duration(bytesPerSec))
-	return l.free
+	l.nextFree = l.nextFree.Add(time.Duration(n) * time.Second / time.Duration(bytesPerSec))
+	return l.nextFree
 }
--- a/standin/relay/limit_test.go
+++ b/standin/relay/limit_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against connections of a limited link that each get its whole bandwidth.
-func TestTheConnectionsOfALinkShareItsBandwidth(t *testing.T) {
+// Guards against each connection of a limited link using the full bandwidth.
+func TestConnectionsOfLinkShareBandwidth(t *testing.T) {
 	const bytesPerSec = 1000
 	link := &limiter{}
 	now := time.Now()
@@ -18,8 +18,8 @@
 	require.Equal(t, later.Add(time.Second), link.reserve(later, bytesPerSec, bytesPerSec))
 }
 
-// Guards against directions of a limited link that each get its whole bandwidth.
-func TestTheDirectionsOfALinkShareALimiter(t *testing.T) {
+// Guards against each direction of a limited link using the full bandwidth.
+func TestDirectionsOfLinkShareLimiter(t *testing.T) {
 	r := newRelay([]route{{From: "a", To: "b"}, {From: "b", To: "a"}, {From: "a", To: "c"}})
 	require.Same(t, r.limits[link{"a", "b"}], r.limits[link{"b", "a"}])
 	require.NotSame(t, r.limits[link{"a", "b"}], r.limits[link{"a", "c"}])
--- a/standin/relay/main.go
+++ b/standin/relay/main.go
@@ -1,7 +1,7 @@
-// Command relay stands in for the links between availability zones in tests
-// and the demo: it passes TCP on with a delay, and can cut a link, cut it in one
-// direction, silence the connections open now, or limit its bandwidth. It counts the
-// bytes of each link. It never ships.
+// Command relay simulates the links between availability zones in tests and the
+// demo. It forwards TCP connections with a delay and can cut a link, drop the
+// bytes of one direction, silence the connections that are open, or limit the
+// bandwidth. It counts the bytes of each link. It is not part of a release.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// route is one address that is relayed to another.
+// route forwards connections to Listen to Target.
 type route struct {
 	Listen  string  `json:"listen"`
 	Target  string  `json:"target"`
@@ -28,12 +28,13 @@
 	DelayMs float64 `json:"delay_ms"`
 }
 
-// fault is what is wrong with the links that match From and To, which are zone
-// names or patterns as in path.Match. Cut refuses and breaks connections; Drop
-// swallows what is sent from From to To. BytesPerSec is the bandwidth of the whole link,
-// if it is set for both directions they share it. Hold keeps back what is sent from From
-// to To on connections to Port, after the first HoldAfter bytes of each, until
-// the fault is taken away.
+// fault is a fault of the links that match From and To, which are zone names or
+// patterns as in path.Match. Cut refuses new connections and closes open ones.
+// Drop discards bytes sent from From to To. Silence discards all further bytes
+// of the connections that are open when the fault is set. BytesPerSec is the
+// bandwidth of the whole link; if it is set for both directions, they share it.
+// Hold delays bytes sent from From to To on connections to Port, after the
+// first HoldAfter bytes of a write, until the fault is removed.
 type fault struct {
 	From         string  `json:"from"`
 	To           string  `json:"to"`
@@ -57,13 +58,13 @@
 	mu     sync.Mutex
 	faults []fault
 	pipes  map[*pipe]struct{}
-	// passed counts the bytes passed on, by link.
+	// passed counts the bytes forwarded, by link.
 	passed map[link]*atomic.Uint64
-	// limits has the same limiter for both directions of a link.
+	// limits maps both directions of a link to the same limiter.
 	limits map[link]*limiter
 }
 
-// link is one direction between two zones.
+// link identifies one direction between two zones.
 type link struct{ from, to string }
 
 func main() {
@@ -99,25 +100,25 @@
 	}
 	http.HandleFunc("PUT /faults", r.setFaults)
 	http.HandleFunc("GET /bytes", r.bytes)
-	http.HandleFunc("GET /held", r.heldNow)
+	http.HandleFunc("GET /held", r.serveHeld)
 	return http.ListenAndServe(admin, nil)
 }
 
 func newRelay(routes []route) *relay {
 	r := &relay{pipes: map[*pipe]struct{}{}, passed: map[link]*atomic.Uint64{}, limits: map[link]*limiter{}}
 	for _, rt := range routes {
-		there, back := link{rt.From, rt.To}, link{rt.To, rt.From}
-		r.passed[there] = &atomic.Uint64{}
-		r.passed[back] = &atomic.Uint64{}
-		if r.limits[there] == nil {
-			r.limits[there] = &limiter{}
-			r.limits[back] = r.limits[there]
+		forward, reverse := link{rt.From, rt.To}, link{rt.To, rt.From}
+		r.passed[forward] = &atomic.Uint64{}
+		r.passed[reverse] = &atomic.Uint64{}
+		if r.limits[forward] == nil {
+			r.limits[forward] = &limiter{}
+			r.limits[reverse] = r.limits[forward]
 		}
 	}
 	return r
 }
 
-// bytes tells how many bytes went each way on each link.
+// bytes serves the number of bytes forwarded in each direction of each link.
 func (r *relay) bytes(w http.ResponseWriter, _ *http.Request) {
 	type row struct {
 		From  string `json:"from"`
@@ -131,7 +132,7 @@
 	_ = json.NewEncoder(w).Encode(rows)
 }
 
-// setFaults replaces all faults by the list in the body.
+// setFaults replaces all faults with the list in the request body.
 func (r *relay) setFaults(w http.ResponseWriter, req *http.Request) {
 	var list []fault
 	if err := json.NewDecoder(req.Body).Decode(&list); err != nil {
@@ -140,20 +141,20 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var fresh []fault
+	var added []fault
 	for _, f := range list {
 		if !slices.Contains(r.faults, f) {
-			fresh = append(fresh, f)
+			added = append(added, f)
 		}
 	}
 	r.faults = list
 	for p := range r.pipes {
-		p.apply(fresh)
+		p.apply(added)
 	}
 }
 
-// now gives the faults joined that hold from one zone to another.
-func (r *relay) now(from, to string) fault {
+// activeFault returns the combination of all faults set from one zone to another.
+func (r *relay) activeFault(from, to string) fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var sum fault
@@ -175,7 +176,7 @@
 		if err != nil {
 			return
 		}
-		if r.now(rt.From, rt.To).Cut || r.now(rt.To, rt.From).Cut {
+		if r.activeFault(rt.From, rt.To).Cut || r.activeFault(rt.To, rt.From).Cut {
 			_ = conn.Close()
 			continue
 		}
--- a/standin/relay/pipe.go
+++ b/standin/relay/pipe.go
@@ -12,19 +12,19 @@
 	route   route
 	in, out net.Conn
 	silent  atomic.Bool
-	// holding counts the directions in which bytes are held back now.
-	holding atomic.Int32
+	// heldDirections counts the directions with held bytes.
+	heldDirections atomic.Int32
 }
 
-// apply takes faults that are new to a connection that is open.
+// apply applies newly set faults to an open connection.
 func (p *pipe) apply(list []fault) {
 	for _, f := range list {
 		forward := f.matches(p.route.From, p.route.To)
-		back := f.matches(p.route.To, p.route.From)
-		if f.Cut && (forward || back) {
+		reverse := f.matches(p.route.To, p.route.From)
+		if f.Cut && (forward || reverse) {
 			p.close()
 		}
-		if f.Silence && (forward || back) {
+		if f.Silence && (forward || reverse) {
 			p.silent.Store(true)
 		}
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-// chunk is bytes on their way, due at a time. A nil data is the end.
+// chunk is data in transit, to be written at due. Nil data marks end of stream.
 type chunk struct {
 	due  time.Time
 	data []byte
@@ -50,7 +50,7 @@
 	chunksAhead = 64
 )
 
-// pump passes bytes from src to dst in order, each after the link's delay.
+// pump forwards bytes from src to dst in order, each after the link's delay.
 func (p *pipe) pump(dst, src net.Conn, from, to string) {
 	queue := make(chan chunk, chunksAhead)
 	passed := p.relay.passed[link{from, to}]
@@ -58,7 +58,7 @@
 	failed := false
 	for c := range queue {
 		time.Sleep(time.Until(c.due))
-		if failed || p.silent.Load() || p.relay.now(from, to).Drop {
+		if failed || p.silent.Load() || p.relay.activeFault(from, to).Drop {
 			continue
 		}
 		if c.data == nil {
@@ -80,7 +80,7 @@
 	for {
 		buf := make([]byte, chunkSize)
 		n, err := src.Read(buf)
-		f := p.relay.now(from, to)
+		f := p.relay.activeFault(from, to)
 		delay := time.Duration((p.route.DelayMs + f.ExtraDelayMs) * float64(time.Millisecond))
 		if n > 0 {
 			if f.BytesPerSec > 0 {
