--- a/standin/backend/backend.go
+++ b/standin/backend/backend.go
@@ -18,15 +18,15 @@
 )
 
 type backend struct {
-	// held is closed when released has changed.
-	held     chan struct{}
-	released map[string]bool
-	opts     options
-	slots    chan struct{}
-	running  atomic.Int64
-	mu       sync.Mutex
-	how      behaviour
-	// coldFrom is when the last cold start began.
+	// releasedChanged is closed and replaced when released changes.
+	releasedChanged chan struct{}
+	released        map[string]bool
+	opts            options
+	slots           chan struct{}
+	running         atomic.Int64
+	mu              sync.Mutex
+	current         behaviour
+	// coldFrom is the time of the last cold start.
 	coldFrom time.Time
 	ledger   *os.File
 	client   *http.Client
@@ -34,9 +34,9 @@
 
 func newBackend(opts options) (*backend, error) {
 	b := &backend{
-		opts: opts, coldFrom: time.Now(), held: make(chan struct{}), released: map[string]bool{}, slots: make(chan struct{}, opts.Slots),
-		how:    behaviour{ServiceMs: opts.ServiceMs, State: "live", Lie: -1},
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
+		opts: opts, coldFrom: time.Now(), releasedChanged: make(chan struct{}), released: map[string]bool{}, slots: make(chan struct{}, opts.Slots),
+		current: behaviour{ServiceMs: opts.ServiceMs, State: "live", Lie: -1},
+		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
 	if opts.Ledger == "" {
 		return b, nil
@@ -46,8 +46,8 @@
 	return b, err
 }
 
-// line is one line of the ledger.
-type line struct {
+// ledgerEntry is one line of the ledger.
+type ledgerEntry struct {
 	At      string `json:"at"`
 	Event   string `json:"event"`
 	ID      string `json:"id"`
@@ -60,17 +60,18 @@
 	if b.ledger == nil {
 		return
 	}
-	text, _ := json.Marshal(line{
+	text, _ := json.Marshal(ledgerEntry{
 		At: time.Now().UTC().Format(time.RFC3339Nano), Event: event, ID: r.Header.Get("X-Request-Id"),
 		Method: r.Method, Path: r.URL.Path, Outcome: outcome,
 	})
 	_, _ = b.ledger.Write(append(text, '\n'))
 }
 
-// serve runs one request: it takes a slot, works, and echoes the body.
+// serve handles one request: it acquires a slot, sleeps for the service time
+// and echoes the body.
 func (b *backend) serve(w http.ResponseWriter, r *http.Request) {
-	how := b.behaviour()
-	if how.Shed {
+	cfg := b.behaviour()
+	if cfg.Shed {
 		http.Error(w, "shed", http.StatusServiceUnavailable)
 		return
 	}
@@ -82,7 +83,7 @@
 	defer b.running.Add(-1)
 	outcome := "cut"
 	defer func() { b.record(r, "end", outcome) }()
-	if how.FailFast {
+	if cfg.FailFast {
 		outcome = "failed"
 		http.Error(w, "failing", http.StatusInternalServerError)
 		return
@@ -93,8 +94,8 @@
 	}
 	ctx, cancel := withDeadline(r)
 	defer cancel()
-	if !b.work(ctx, r, how) || !b.hold(ctx, r, holdRunning) {
-		leave(r.Context())
+	if !b.work(ctx, r, cfg) || !b.hold(ctx, r, holdRunning) {
+		abortExpired(r.Context())
 	}
 	if !b.chain(ctx, w, r) {
 		outcome = "chain-failed"
@@ -104,7 +105,7 @@
 	outcome = "done"
 }
 
-// maxEcho is the largest body that is sent back whole.
+// maxEcho is the largest body, in bytes, that is echoed in full.
 const maxEcho = 1 << 20
 
 type received struct {
@@ -116,19 +117,19 @@
 func readBody(r *http.Request) (received, error) {
 	hash := sha256.New()
 	var head strings.Builder
-	limited := &limitedWriter{w: &head, left: maxEcho}
+	limited := &limitedWriter{w: &head, remaining: maxEcho}
 	n, err := io.Copy(io.MultiWriter(hash, limited), r.Body)
 	return received{hex.EncodeToString(hash.Sum(nil)), n, []byte(head.String())}, err
 }
 
 type limitedWriter struct {
-	w    io.Writer
-	left int
+	w         io.Writer
+	remaining int
 }
 
 func (l *limitedWriter) Write(p []byte) (int, error) {
-	n := min(len(p), l.left)
-	l.left -= n
+	n := min(len(p), l.remaining)
+	l.remaining -= n
 	_, err := l.w.Write(p[:n])
 	return len(p), err
 }
@@ -140,7 +141,7 @@
 	return clock.Sleep(ctx, d)
 }
 
-// chain calls the next service of X-Standin-Chain through the node beside it.
+// chain calls the next service listed in X-Standin-Chain through the local node.
 func (b *backend) chain(ctx context.Context, w http.ResponseWriter, r *http.Request) bool {
 	list := r.Header.Get("X-Standin-Chain")
 	if list == "" || b.opts.Entry == "" {
@@ -157,8 +158,8 @@
 		}
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		left := max(1, time.Until(deadline).Milliseconds())
-		req.Header.Set(timeoutHeader, strconv.FormatInt(left, 10))
+		remaining := max(1, time.Until(deadline).Milliseconds())
+		req.Header.Set(timeoutHeader, strconv.FormatInt(remaining, 10))
 	}
 	req.Header.Set("Limpetdock-Service", next)
 	if rest != "" {
@@ -178,8 +179,8 @@
 	return true
 }
 
-// answer echoes the body, or sends X-Standin-Size bytes; X-Standin-Cut breaks
-// the answer off after that many of them.
+// answer echoes the body, or sends as many bytes as X-Standin-Size asks for.
+// X-Standin-Cut aborts the response after that many bytes.
 func (b *backend) answer(w http.ResponseWriter, r *http.Request, body received) {
 	w.Header().Set("X-Standin-Name", b.opts.Name)
 	w.Header().Set("X-Standin-Sha256", body.sum)
--- a/standin/backend/backend_test.go
+++ b/standin/backend/backend_test.go
@@ -13,12 +13,12 @@
 func newTestBackend(t *testing.T) (*backend, *httptest.Server) {
 	b, err := newBackend(options{Name: "b", Slots: 1})
 	require.NoError(t, err)
-	s := httptest.NewServer(b.thaw(b.serve))
+	s := httptest.NewServer(b.waitWhileFrozen(b.serve))
 	t.Cleanup(s.Close)
 	return b, s
 }
 
-func TestSetChangesOnlyWhatItNames(t *testing.T) {
+func TestSetKeepsUnnamedFields(t *testing.T) {
 	b, _ := newTestBackend(t)
 	put := func(text string) int {
 		w := httptest.NewRecorder()
@@ -31,11 +31,11 @@
 	require.Equal(t, behaviour{ServiceMs: 7, State: "live"}, b.behaviour())
 }
 
-// A server that goes on with work after its deadline holds a slot that others
-// wait for: under overload nothing would be done in time.
-func TestDeadlineFreesTheSlot(t *testing.T) {
+// A server that continues after a request's deadline holds a slot that other
+// requests wait for; under overload no request would then finish in time.
+func TestSlotIsReleasedAtDeadline(t *testing.T) {
 	b, s := newTestBackend(t)
-	b.how.ServiceMs = time.Hour.Seconds() * 1000
+	b.current.ServiceMs = time.Hour.Seconds() * 1000
 	send := func(timeoutMs string) error {
 		r, err := http.NewRequest(http.MethodPost, s.URL, strings.NewReader("x"))
 		require.NoError(t, err)
@@ -46,16 +46,16 @@
 		}
 		return err
 	}
-	require.Error(t, send("20"), "no answer is made up")
+	require.Error(t, send("20"), "an expired request got a response")
 	b.mu.Lock()
-	b.how.ServiceMs = 0
+	b.current.ServiceMs = 0
 	b.mu.Unlock()
 	require.NoError(t, send("60000"))
 }
 
-func TestFrozenServerGoesOnAfterwards(t *testing.T) {
+func TestFrozenServerResumes(t *testing.T) {
 	b, s := newTestBackend(t)
-	b.how.Frozen = true
+	b.current.Frozen = true
 	answered := make(chan error, 1)
 	go func() {
 		resp, err := http.Get(s.URL)
@@ -70,7 +70,7 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	b.mu.Lock()
-	b.how.Frozen = false
+	b.current.Frozen = false
 	b.mu.Unlock()
 	require.NoError(t, <-answered)
 }
--- a/standin/backend/hold.go
+++ b/standin/backend/hold.go
@@ -6,15 +6,15 @@
 	"net/http"
 )
 
-// A request with this header waits at a step of its run until PUT /-/release.
+// A request with holdHeader waits at the step given there until PUT /-/release.
 const (
 	holdHeader    = "X-Standin-Hold"
 	holdRunning   = "running"
 	holdAnswering = "answering"
 )
 
-// hold waits if the request is to be held at step. It returns false when the
-// request was cancelled.
+// hold blocks until release if the request asks to be held at step. It returns
+// false if the request is cancelled.
 func (b *backend) hold(ctx context.Context, r *http.Request, step string) bool {
 	if r.Header.Get(holdHeader) != step {
 		return true
@@ -22,21 +22,21 @@
 	id := r.Header.Get("X-Request-Id")
 	for {
 		b.mu.Lock()
-		held, free := b.held, b.released[id]
+		changed, released := b.releasedChanged, b.released[id]
 		b.mu.Unlock()
-		if free {
+		if released {
 			return true
 		}
 		select {
-		case <-held:
+		case <-changed:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// release lets the requests go on whose ids are in the body, a JSON list; later
-// copies of them aren't held either.
+// release resumes the requests whose ids are in the body, a JSON list. Later
+// copies of these requests aren't held either.
 func (b *backend) release(w http.ResponseWriter, r *http.Request) {
 	var ids []string
 	if err := json.NewDecoder(r.Body).Decode(&ids); err != nil {
@@ -48,6 +48,6 @@
 	for _, id := range ids {
 		b.released[id] = true
 	}
-	close(b.held)
-	b.held = make(chan struct{})
+	close(b.releasedChanged)
+	b.releasedChanged = make(chan struct{})
 }
--- a/standin/backend/main.go
+++ b/standin/backend/main.go
@@ -1,6 +1,7 @@
-// Command backend stands in for a backend server in tests and the demo. It
-// has slots and a service time, keeps a ledger of what it ran, and can be told
-// to misbehave under /-/set. It never ships.
+// Command backend simulates a backend server in tests and the demo. It has
+// slots and a service time and records each run in a ledger file. PUT /-/set
+// changes its behaviour, for example to simulate faults. It is not part of a
+// release.
 package main
 
 import (
@@ -31,11 +32,11 @@
 		os.Exit(1)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /healthz", b.thaw(b.health))
-	mux.HandleFunc("GET /load", b.thaw(b.load))
+	mux.HandleFunc("GET /healthz", b.waitWhileFrozen(b.health))
+	mux.HandleFunc("GET /load", b.waitWhileFrozen(b.load))
 	mux.HandleFunc("PUT /-/set", b.set)
 	mux.HandleFunc("PUT /-/release", b.release)
-	mux.HandleFunc("/", b.thaw(b.serve))
+	mux.HandleFunc("/", b.waitWhileFrozen(b.serve))
 	if err := http.ListenAndServe(opts.Listen, mux); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
