--- a/standin/deploy/build.go
+++ b/standin/deploy/build.go
@@ -9,7 +9,7 @@
 // module is the import path of this repository.
 const module = "github.com/limpetdock/limpetdock"
 
-// Build builds every program of a deployment into dir, for tests.
+// Build compiles every program of a deployment into dir, for tests.
 func Build(dir string) error {
 	programs := map[string]string{
 		"limpetdockd": "cmd/limpetdockd", "limpetdock": "cmd/limpetdock",
--- a/standin/deploy/deploy.go
+++ b/standin/deploy/deploy.go
@@ -1,7 +1,7 @@
-// Package deploy starts a whole deployment on loopback addresses, every process
-// of it a real one: nodes, backend server stand-ins, the platform stand-in, and a
-// relay for each availability zone. The demo, the experiments and the tests that
-// need real processes use it. It never ships.
+// Package deploy starts a complete deployment of real processes on loopback
+// addresses: nodes, backend server stand-ins, the platform stand-in, and a relay
+// for each availability zone. The demo, the experiments and the tests that need
+// real processes use it. It is not part of a release.
 package deploy
 
 import (
@@ -21,19 +21,20 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// Options say what to start and where.
+// Options configure a deployment.
 type Options struct {
-	// Bin holds the built programs; Out gets settings, logs, ledgers and nodes.tsv.
+	// Bin is the directory of the built programs. Settings, logs, ledgers and
+	// nodes.tsv are written to Out.
 	Bin, Out string
 	// Net is the second octet of all addresses, 2 to 254; see FreeNet.
 	Net int
-	// Fleet is what is deployed; its defaults are filled in.
+	// Fleet is the configuration to deploy; defaults are filled in.
 	Fleet fleet.Fleet
-	// ServiceMs is the service time of the backend servers at the start.
+	// ServiceMs is the initial service time of the backend servers.
 	ServiceMs float64
-	// NodeEnv is added to the environment of the nodes, as NAME=value.
+	// NodeEnv lists NAME=value pairs added to the environment of the nodes.
 	NodeEnv []string
-	// NoRestart leaves processes that end by themselves down.
+	// NoRestart disables the restart of processes that exit on their own.
 	NoRestart bool
 }
 
@@ -51,7 +52,7 @@
 	relays   map[string]*Process
 	platform *Process
 	vmStates map[string]string
-	// publishing is held while the VM list is on its way to the platform.
+	// publishing serializes updates of the VM list on the platform.
 	publishing sync.Mutex
 }
 
@@ -74,23 +75,24 @@
 	return d, nil
 }
 
-// Fleet is what was published last.
+// Fleet returns the configuration that was published last.
 func (d *Deployment) Fleet() fleet.Fleet {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.fleet
 }
 
-// Node gives the node of a VM.
+// Node returns the node of a VM.
 func (d *Deployment) Node(vm string) *Process { return d.nodes[vm] }
 
-// Backend gives the backend server stand-in of a VM.
+// Backend returns the backend server stand-in of a VM.
 func (d *Deployment) Backend(vm string) *Process { return d.backends[vm] }
 
-// Platform gives the platform stand-in.
+// Platform returns the platform stand-in.
 func (d *Deployment) Platform() *Process { return d.platform }
 
-// Ledger is the file in which a VM's backend server stand-in records its runs.
+// Ledger returns the path of the file in which a VM's backend server stand-in
+// records its runs.
 func (d *Deployment) Ledger(vm string) string {
 	return filepath.Join(d.opts.Out, "ledger", vm+".ndjson")
 }
@@ -171,20 +173,22 @@
 	return nil
 }
 
-// seeds are control addresses of a few other VMs, for when the VM list is down.
+// seeds returns control addresses of a few other VMs, for use when the VM list
+// is unavailable.
 func (d *Deployment) seeds(self Place) string {
 	const count, step = 3, 7
 	var list []string
 	for i := range d.Places {
-		p := d.Places[(i*step+self.no*5)%len(d.Places)]
+		p := d.Places[(i*step+self.index*5)%len(d.Places)]
 		if p.VM != self.VM && len(list) < count {
-			list = append(list, fmt.Sprintf("%s:%d", p.seenFrom(self.zoneNo), d.fleet.Ports.Control))
+			list = append(list, fmt.Sprintf("%s:%d", p.addressFrom(self.zoneNo), d.fleet.Ports.Control))
 		}
 	}
 	return strings.Join(list, ", ")
 }
 
-// writeTable writes nodes.tsv, whole or not at all.
+// writeTable replaces nodes.tsv atomically. It does nothing until all nodes
+// have been started.
 func (d *Deployment) writeTable() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -203,7 +207,7 @@
 	}
 }
 
-// readyLimit bounds the start of the whole deployment.
+// readyLimit bounds the time until the whole deployment is ready.
 const readyLimit = time.Minute
 
 // WaitReady waits until every node answers a request to each service.
@@ -211,7 +215,7 @@
 	end := time.Now().Add(readyLimit)
 	for _, p := range d.Places {
 		for _, s := range d.fleet.Services {
-			for !answers(ctx, p, s.Name) {
+			for !answersRequest(ctx, p, s.Name) {
 				if time.Now().After(end) || ctx.Err() != nil {
 					return errors.New(p.VM + " doesn't answer for " + s.Name)
 				}
@@ -222,7 +226,7 @@
 	return nil
 }
 
-func answers(ctx context.Context, p Place, service string) bool {
+func answersRequest(ctx context.Context, p Place, service string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Callers()+"/ready", nil)
 	if err != nil {
 		return false
@@ -236,7 +240,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Stop ends the nodes first, so that what is in flight can finish, then the rest.
+// Stop stops the nodes first, so that requests in flight can finish, and then
+// kills the other processes.
 func (d *Deployment) Stop() {
 	const limit = 20 * time.Second
 	for _, p := range d.nodes {
--- a/standin/deploy/faults.go
+++ b/standin/deploy/faults.go
@@ -15,7 +15,8 @@
 )
 
 // LinkFault is a fault of the links from zone From to zone To; both are names
-// or patterns as in path.Match. The relay's page in standin/relay says what each does.
+// or patterns as in path.Match. The type fault in standin/relay documents the
+// effect of each field.
 type LinkFault struct {
 	From         string  `json:"from"`
 	To           string  `json:"to"`
@@ -29,15 +30,17 @@
 	Port         string  `json:"port,omitempty"`
 }
 
-// PlatformFault is what is wrong with the platform for the readers of a zone.
+// PlatformFault is a fault of the platform as seen by the readers of a zone.
 type PlatformFault struct {
 	Down    bool `json:"down,omitempty"`
 	DelayMs int  `json:"delay_ms,omitempty"`
-	// FrozenAt shows the platform's state as of an earlier version of its own.
+	// FrozenAt makes the platform serve its state as of an earlier version; 0
+	// serves the current state.
 	FrozenAt uint64 `json:"frozen_at,omitempty"`
 }
 
-// SetLinks replaces the faults of all links; none given mends them all.
+// SetLinkFaults replaces the faults of all links. Without arguments it removes
+// all faults.
 func (d *Deployment) SetLinks(ctx context.Context, faults ...LinkFault) error {
 	if faults == nil {
 		faults = []LinkFault{}
@@ -50,26 +53,26 @@
 	return nil
 }
 
-// SetRelay replaces the faults of the links that one relay carries. It is tried again
-// while the relay starts.
+// SetRelayFaults replaces the faults of the links of one relay. It retries while
+// the relay starts.
 func SetRelay(ctx context.Context, admin string, faults []LinkFault) error {
 	return put(ctx, "http://"+admin+"/faults", faults)
 }
 
-// SetPlatform sets what is wrong with the platform for one zone.
+// SetPlatformFault sets the fault of the platform for one zone.
 func (d *Deployment) SetPlatform(ctx context.Context, zone string, f PlatformFault) error {
 	return put(ctx, d.platformURL("/admin/faults/"+zone), f)
 }
 
-// Held lists the guard or control addresses to which the relay of a zone holds
-// bytes back now, or of which it holds the answers.
+// HeldTargets returns the guard or control addresses of the connections on which
+// the relay of a zone currently holds bytes, in either direction.
 func (d *Deployment) Held(ctx context.Context, zone string) ([]string, error) {
 	var held []string
 	err := Get(ctx, "http://"+d.net.relayAdmin(d.zones[zone])+"/held", &held)
 	return held, err
 }
 
-// Release lets the requests go on that a VM's backend server stand-in holds.
+// Release resumes the given requests held by a VM's backend server stand-in.
 func (d *Deployment) Release(ctx context.Context, vm string, ids ...string) error {
 	for _, p := range d.Places {
 		if p.VM == vm {
@@ -79,28 +82,29 @@
 	return fmt.Errorf("no VM %s", vm)
 }
 
-// PlatformState is what the platform stand-in counts.
+// PlatformState holds the version and the call counters of the platform stand-in.
 type PlatformState struct {
 	Version uint64            `json:"version"`
 	Calls   map[string]uint64 `json:"calls"`
 }
 
-// PlatformState reads the platform's version and its counted calls, by zone.
+// PlatformState reads the platform's version and its calls by zone.
 func (d *Deployment) PlatformState(ctx context.Context) (PlatformState, error) {
 	var s PlatformState
 	err := Get(ctx, d.platformURL("/admin/state"), &s)
 	return s, err
 }
 
-// LinkBytes is what went from one zone to another through the relays.
+// LinkBytes is the number of bytes relayed from one zone to another.
 type LinkBytes struct {
 	From  string `json:"from"`
 	To    string `json:"to"`
 	Bytes uint64 `json:"bytes"`
 }
 
-// Bytes reads what went through all relays so far. A link has a row for each of
-// the two relays that carry it, by who opened the connection.
+// Bytes returns the bytes forwarded by all relays so far. A link has a row for
+// each of its two relays: a connection is counted by the relay in the zone that
+// opened it.
 func (d *Deployment) Bytes(ctx context.Context) ([]LinkBytes, error) {
 	var all []LinkBytes
 	for _, no := range d.zones {
@@ -113,7 +117,7 @@
 	return all, nil
 }
 
-// Get reads a value as JSON from a stand-in.
+// Get fetches url and decodes the JSON response into value.
 func Get(ctx context.Context, url string, value any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -127,8 +131,8 @@
 	return json.NewDecoder(resp.Body).Decode(value)
 }
 
-// SetBackend changes the behaviour of a VM's backend server stand-in; keys are
-// those of the stand-in's behaviour. What isn't named stays.
+// SetBackend changes the behaviour of a VM's backend server stand-in. The keys
+// are the JSON fields of behaviour in standin/backend; other fields are kept.
 func (d *Deployment) SetBackend(ctx context.Context, vm string, behaviour map[string]any) error {
 	for _, p := range d.Places {
 		if p.VM == vm {
@@ -138,7 +142,7 @@
 	return fmt.Errorf("no VM %s", vm)
 }
 
-// Publish publishes a configuration: documents first, the index last.
+// Publish publishes a configuration: the documents first, then the index.
 func (d *Deployment) Publish(ctx context.Context, f fleet.Fleet) error {
 	pub, err := f.Print()
 	if err != nil {
@@ -155,13 +159,13 @@
 	return nil
 }
 
-// PublishValue puts one value on the platform, whatever it is.
+// PublishValue publishes one value on the platform without validating it.
 func (d *Deployment) PublishValue(ctx context.Context, key string, text []byte) error {
 	return put(ctx, d.platformURL("/admin/values/"+key), text)
 }
 
 // SetVM sets the state of a VM in the platform's list: "live", "leaving", or
-// "" to leave it out.
+// "" to remove it from the list.
 func (d *Deployment) SetVM(ctx context.Context, vm, state string) error {
 	d.mu.Lock()
 	d.vmStates[vm] = state
@@ -177,7 +181,7 @@
 		State string            `json:"state"`
 		Seen  map[string]string `json:"seen"`
 	}
-	// Two lists must not overtake each other on their way.
+	// Concurrent updates must reach the platform in order.
 	d.publishing.Lock()
 	defer d.publishing.Unlock()
 	d.mu.Lock()
@@ -192,7 +196,7 @@
 		}
 		seen := map[string]string{}
 		for zone, no := range d.zones {
-			seen[zone] = p.seenFrom(no)
+			seen[zone] = p.addressFrom(no)
 		}
 		rows = append(rows, row{p.VM, p.IP(), state, seen})
 	}
@@ -202,8 +206,8 @@
 
 func (d *Deployment) platformURL(path string) string { return "http://" + d.net.platform() + path }
 
-// put sends a value, as JSON unless it is bytes, to a stand-in that may still
-// be starting.
+// put sends a value to a stand-in, as JSON unless it is a byte slice. It retries
+// because the stand-in may still be starting.
 func put(ctx context.Context, url string, value any) error {
 	const tries, pause = 50, 100 * time.Millisecond
 	text, raw := value.([]byte)
@@ -233,15 +237,15 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	said, _ := io.ReadAll(resp.Body)
+	message, _ := io.ReadAll(resp.Body)
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: %s", resp.Status, strings.TrimSpace(string(said)))
+		return fmt.Errorf("%s: %s", resp.Status, strings.TrimSpace(string(message)))
 	}
 	return nil
 }
 
-// FreeNet finds a network that no other deployment on this machine uses, and
-// holds it until release is called.
+// FreeNet reserves a network that no other deployment on this machine uses. The
+// caller must call release to free it.
 func FreeNet() (octet int, release func(), err error) {
 	const first, last = 30, 250
 	for n := first; n <= last; n++ {
--- a/standin/deploy/ledger.go
+++ b/standin/deploy/ledger.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// Run is one line of a backend server stand-in's ledger.
+// LedgerEntry is one line of a backend server stand-in's ledger.
 type Run struct {
 	Event   string `json:"event"`
 	ID      string `json:"id"`
@@ -15,7 +15,8 @@
 	Outcome string `json:"outcome"`
 }
 
-// Runs reads the ledger of a VM. A last line that is half written is left out.
+// LedgerEntries reads the ledger of a VM. It skips lines that can't be parsed,
+// such as a last line that is only partly written.
 func (d *Deployment) Runs(vm string) ([]Run, error) {
 	text, err := os.ReadFile(d.Ledger(vm))
 	if os.IsNotExist(err) {
@@ -34,7 +35,7 @@
 	return runs, nil
 }
 
-// Starts counts in all ledgers how often each request id was started.
+// StartCounts returns how often each request id was started, over all ledgers.
 func (d *Deployment) Starts() (map[string]int, error) {
 	starts := map[string]int{}
 	for _, p := range d.Places {
--- a/standin/deploy/plan.go
+++ b/standin/deploy/plan.go
@@ -6,20 +6,20 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// Ports of a deployment; every VM has an IP of its own on the loopback network.
+// Ports and link delays of a deployment. Every VM has its own loopback IP.
 const (
 	callersPort  = 7100
 	adminPort    = 7400
 	backendPort  = 8000
 	platformPort = 8500
 	relayPort    = 8600
-	// One way, in milliseconds, as the brief gives them.
+	// One-way delays in milliseconds, as stated in the requirements.
 	betweenZonesMs   = 1.5
 	betweenRegionsMs = 8
 )
 
-// network is the second octet of every address of a deployment, so that
-// several can run on one machine.
+// network is the second octet of all addresses of a deployment. Deployments
+// with different networks can run on one machine.
 type network int
 
 func (n network) platform() string { return fmt.Sprintf("127.%d.0.1:%d", n, platformPort) }
@@ -28,41 +28,42 @@
 	return fmt.Sprintf("127.%d.0.%d:%d", n, 1+zoneNo, relayPort)
 }
 
-// Place is one VM of a deployment.
+// VM is one VM of a deployment.
 type Place struct {
 	VM, Service, Region, Zone string
 	Slots                     int
 	net                       network
-	zoneNo, no                int
+	zoneNo, index             int
 }
 
-// IP is the VM's own address.
-func (p Place) IP() string { return fmt.Sprintf("127.%d.%d.%d", p.net, p.zoneNo, p.no) }
+// IP returns the VM's own address.
+func (p Place) IP() string { return fmt.Sprintf("127.%d.%d.%d", p.net, p.zoneNo, p.index) }
 
 const (
 	firstRelayNet = 100
 	maxZones      = 11
 )
 
-// seenFrom is the address of the VM in a zone: its own, or its relay's.
-func (p Place) seenFrom(zoneNo int) string {
+// addressFrom returns the address under which a zone reaches the VM: the VM's
+// own address within its zone, otherwise that of the zone's relay.
+func (p Place) addressFrom(zoneNo int) string {
 	if zoneNo == p.zoneNo {
 		return p.IP()
 	}
 	link := (zoneNo-1)*maxZones + p.zoneNo - 1
-	return fmt.Sprintf("127.%d.%d.%d", p.net, firstRelayNet+link, p.no)
+	return fmt.Sprintf("127.%d.%d.%d", p.net, firstRelayNet+link, p.index)
 }
 
-// Callers, Admin and Backend are the addresses of the VM's processes.
+// Callers returns the address on which the node accepts callers' requests.
 func (p Place) Callers() string { return fmt.Sprintf("%s:%d", p.IP(), callersPort) }
 
-// Admin is the address of the node's administration API.
+// Admin returns the address of the node's administration API.
 func (p Place) Admin() string { return fmt.Sprintf("%s:%d", p.IP(), adminPort) }
 
-// Backend is the address of the backend server stand-in.
+// Backend returns the address of the backend server stand-in.
 func (p Place) Backend() string { return fmt.Sprintf("%s:%d", p.IP(), backendPort) }
 
-// plan lists the VMs of a fleet, with its zones numbered from 1.
+// plan returns the VMs of a fleet and the numbers of its zones, from 1.
 func plan(n network, f fleet.Fleet) ([]Place, map[string]int) {
 	zones := map[string]int{}
 	regions := map[string]string{}
@@ -77,14 +78,14 @@
 			inZone[t.Zone]++
 			places = append(places, Place{
 				VM: t.VM, Service: s.Name, Region: regions[t.Zone], Zone: t.Zone, Slots: t.Slots,
-				net: n, zoneNo: zones[t.Zone], no: inZone[t.Zone],
+				net: n, zoneNo: zones[t.Zone], index: inZone[t.Zone],
 			})
 		}
 	}
 	return places, zones
 }
 
-// RelayRoute is a row of a relay's routes, as the relay reads it.
+// RelayRoute is an entry of a relay's routes file.
 type RelayRoute struct {
 	Listen  string  `json:"listen"`
 	Target  string  `json:"target"`
@@ -93,7 +94,7 @@
 	DelayMs float64 `json:"delay_ms"`
 }
 
-// routes lists what the relay of one zone passes on.
+// routes returns the routes of one zone's relay.
 func routes(f fleet.Fleet, places []Place, zones map[string]int, from string) []RelayRoute {
 	region := map[string]string{}
 	for _, z := range f.Zones {
@@ -110,7 +111,7 @@
 		}
 		for _, port := range []int{f.Ports.Guard, f.Ports.Control} {
 			list = append(list, RelayRoute{
-				Listen: fmt.Sprintf("%s:%d", p.seenFrom(zones[from]), port),
+				Listen: fmt.Sprintf("%s:%d", p.addressFrom(zones[from]), port),
 				Target: fmt.Sprintf("%s:%d", p.IP(), port),
 				From:   from, To: p.Zone, DelayMs: delay,
 			})
--- a/standin/deploy/process.go
+++ b/standin/deploy/process.go
@@ -10,26 +10,27 @@
 	"time"
 )
 
-// Process is a child of the deployment. One that ends by itself is started
-// again, as the platform does with the processes of a VM.
+// Process is a child process of the deployment. A process that exits on its own
+// is restarted, as the platform does with the processes of a VM.
 type Process struct {
-	path    string
-	args    []string
-	env     []string
-	log     *os.File
-	restart bool
-	changed func()
-	done    chan struct{}
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ends    bool
+	path     string
+	args     []string
+	env      []string
+	log      *os.File
+	restart  bool
+	changed  func()
+	done     chan struct{}
+	mu       sync.Mutex
+	cmd      *exec.Cmd
+	stopping bool
 }
 
-// restartPause is how long the platform takes to start a process again.
+// restartPause is the time that the platform takes to restart a process.
 const restartPause = time.Second
 
-// StartProcess starts a program whose output goes to a file in logs. One that ends by
-// itself is started again after a pause if restart is set, and changed is called.
+// StartProcess starts a program and writes its output to a file in logs. If
+// restart is set, a program that exits on its own is restarted after a pause,
+// and changed is called.
 func StartProcess(logs, name, path string, env []string, restart bool, changed func(), args ...string) (*Process, error) {
 	log, err := os.Create(filepath.Join(logs, name+".log"))
 	if err != nil {
@@ -46,13 +47,14 @@
 func (p *Process) spawn() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ends {
+	if p.stopping {
 		return os.ErrProcessDone
 	}
 	cmd := exec.Command(p.path, p.args...)
 	cmd.Stdout, cmd.Stderr = p.log, p.log
 	cmd.Env = append(os.Environ(), p.env...)
-	// A process group of its own keeps ^C for the starter, which stops in order.
+	// In its own process group the child doesn't receive ^C; the parent stops
+	// all processes in order.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return err
@@ -69,9 +71,9 @@
 		p.mu.Unlock()
 		_ = cmd.Wait()
 		p.mu.Lock()
-		ends := p.ends || !p.restart
+		exit := p.stopping || !p.restart
 		p.mu.Unlock()
-		if ends {
+		if exit {
 			return
 		}
 		time.Sleep(restartPause)
@@ -82,15 +84,15 @@
 	}
 }
 
-// Pid gives the process id of the running child.
+// Pid returns the process id of the child.
 func (p *Process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// Signal sends a signal; a process that ends of it is started again. One that
-// has ended already and waits to be started takes none.
+// Signal sends a signal. A process that exits because of it is restarted. The
+// signal is ignored if the process has exited and waits for its restart.
 func (p *Process) Signal(sig os.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,25 +102,25 @@
 	return nil
 }
 
-// Kill ends the process at once; it is started again after a pause.
+// Kill kills the process. It is restarted after a pause.
 func (p *Process) Kill() error { return p.Signal(syscall.SIGKILL) }
 
-// Freeze stops the process until Thaw, as a paused VM would.
+// Pause suspends the process until Resume, like the pause of a VM.
 func (p *Process) Freeze() error { return p.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Resume continues a paused process.
 func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
 
-// End asks the process to stop; it isn't started again.
+// End sends a signal that stops the process and disables its restart.
 func (p *Process) End(sig os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ends = true
+	p.stopping = true
 	_ = p.cmd.Process.Signal(sig)
 }
 
-// Wait waits for the end of a process that was told to, and kills it if it
-// takes longer than limit.
+// Wait waits for the exit of a process after End, and kills it if it takes
+// longer than limit.
 func (p *Process) Wait(limit time.Duration) {
 	select {
 	case <-p.done:
