--- a/standin/demo/check.go
+++ b/standin/demo/check.go
@@ -21,14 +21,14 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// call is one kind of request of the check's load.
+// call is one kind of request in the load of the check.
 type call struct {
 	service, method, path string
 	body                  int
 	once                  bool
 }
 
-// deployment is a fleet that the demo can start, with the load of its check.
+// deployment is a fleet that the demo can start and the load of its check.
 type deployment struct {
 	declare func(revision uint64) fleet.Fleet
 	calls   []call
@@ -52,18 +52,19 @@
 	}},
 }
 
-// tally counts what was answered.
+// tally collects the results of the check. answeredOnce holds the ids of
+// answered at-most-once requests.
 type tally struct {
-	mu    sync.Mutex
-	rows  map[string]int
-	wrong []string
-	ids   map[string]bool
+	mu           sync.Mutex
+	counts       map[string]int
+	wrong        []string
+	answeredOnce map[string]bool
 }
 
 func (t *tally) count(c call, what string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.rows[fmt.Sprintf("%-10s %-4s %-16s %s", c.service, c.method, c.path, what)]++
+	t.counts[fmt.Sprintf("%-10s %-4s %-16s %s", c.service, c.method, c.path, what)]++
 }
 
 func (t *tally) wrongf(format string, args ...any) {
@@ -72,21 +73,22 @@
 	t.wrong = append(t.wrong, fmt.Sprintf(format, args...))
 }
 
-// callersAtOnce is how many callers the check has; each waits for its answers.
+// callersAtOnce is the number of concurrent callers. Each sends its next request
+// after the answer to the last.
 const callersAtOnce = 24
 
-// check sends a mixed load to all nodes and compares answers and ledgers.
+// check sends a mixed load to all nodes and compares the answers with the ledgers.
 func check(ctx context.Context, d *deploy.Deployment, calls []call, length time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	t := &tally{rows: map[string]int{}, ids: map[string]bool{}}
+	t := &tally{counts: map[string]int{}, answeredOnce: map[string]bool{}}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callersAtOnce}}
 	var wg sync.WaitGroup
 	for i := range callersAtOnce {
 		wg.Go(func() {
 			rnd := rand.New(rand.NewPCG(1, uint64(i)))
 			for ctx.Err() == nil {
-				one(d, calls, client, rnd, t)
+				sendOne(d, calls, client, rnd, t)
 			}
 		})
 	}
@@ -96,7 +98,7 @@
 	return t.report()
 }
 
-func one(d *deploy.Deployment, calls []call, client *http.Client, rnd *rand.Rand, t *tally) {
+func sendOne(d *deploy.Deployment, calls []call, client *http.Client, rnd *rand.Rand, t *tally) {
 	c := calls[rnd.IntN(len(calls))]
 	p := d.Places[rnd.IntN(len(d.Places))]
 	body := make([]byte, c.body)
@@ -130,7 +132,7 @@
 	t.count(c, resp.Status)
 	if c.once {
 		t.mu.Lock()
-		t.ids[id] = true
+		t.answeredOnce[id] = true
 		t.mu.Unlock()
 	}
 	if resp.Header.Get("X-Request-Id") != id || c.body > 0 && !bytes.Equal(got, body) {
@@ -138,7 +140,7 @@
 	}
 }
 
-// checkLedgers looks for at-most-once requests that ran twice or not at all.
+// checkLedgers reports answered at-most-once requests that didn't run exactly once.
 func checkLedgers(d *deploy.Deployment, t *tally) {
 	starts := map[string]int{}
 	for _, p := range d.Places {
@@ -156,7 +158,7 @@
 			starts[id]++
 		}
 	}
-	for id := range t.ids {
+	for id := range t.answeredOnce {
 		if starts[id] != 1 {
 			t.wrongf("at-most-once request %s was answered and ran %d times", id, starts[id])
 		}
@@ -164,9 +166,9 @@
 }
 
 func (t *tally) report() error {
-	rows := make([]string, 0, len(t.rows))
+	rows := make([]string, 0, len(t.counts))
 	total := 0
-	for row, n := range t.rows {
+	for row, n := range t.counts {
 		rows = append(rows, fmt.Sprintf("%s: %d", row, n))
 		total += n
 	}
--- a/standin/demo/main.go
+++ b/standin/demo/main.go
@@ -1,7 +1,8 @@
 // Command demo starts one of the examples on loopback addresses: 18 nodes with a
 // backend server stand-in each, the platform stand-in, and a relay per
-// availability zone, every one a process of its own. With --check it sends a
-// mixed load and exits with 0 only if every answer was right. It never ships.
+// availability zone, each as a separate process. With --check it sends a mixed
+// load and exits with 0 only if every answer was correct. It is not part of a
+// release.
 package main
 
 import (
