--- a/standin/platform/main.go
+++ b/standin/platform/main.go
@@ -1,8 +1,8 @@
-// Command platform stands in for the platform in tests and the demo: a
-// configuration service and a VM list that nodes read and watch. It never ships.
+// Command platform simulates the platform in tests and the demo: a configuration
+// service and a VM list that nodes read and watch. It is not part of a release.
 //
 // Readers in a zone use /zone/NAME/v1/..., so that faults and addresses can
-// differ by zone. Publishing and faults are under /admin/ and are for tests.
+// differ by zone. Tests publish values and set faults under /admin/.
 package main
 
 import (
@@ -24,7 +24,8 @@
 	text    []byte
 }
 
-// vm is a row of the VM list, with the IP that each zone sees it under.
+// vm is an entry of the VM list. Seen maps a zone to the IP under which it
+// reaches the VM.
 type vm struct {
 	Name  string            `json:"name"`
 	IP    string            `json:"ip"`
@@ -32,11 +33,11 @@
 	Seen  map[string]string `json:"seen,omitempty"`
 }
 
-// fault is what is wrong for the readers of one zone.
+// fault is a fault of the platform as seen by the readers of one zone.
 type fault struct {
 	Down    bool `json:"down"`
 	DelayMs int  `json:"delay_ms"`
-	// FrozenAt shows the state of an earlier version; 0 is none.
+	// FrozenAt makes reads return the state as of an earlier version; 0 disables it.
 	FrozenAt uint64 `json:"frozen_at"`
 }
 
@@ -75,7 +76,7 @@
 	}
 }
 
-// put publishes a value, or the VM list.
+// put publishes a value or the VM list.
 func (s *server) put(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -90,12 +91,12 @@
 	defer s.mu.Unlock()
 	s.version++
 	s.values[key] = append(s.values[key], entry{s.version, text})
-	s.wake()
+	s.notifyWatches()
 	_, _ = fmt.Fprintln(w, s.version)
 }
 
-// wake lets every waiting watch look again. The mutex is held.
-func (s *server) wake() {
+// notifyWatches makes all waiting watches check again. The caller holds s.mu.
+func (s *server) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -109,10 +110,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults[r.PathValue("zone")] = f
-	s.wake()
+	s.notifyWatches()
 }
 
-// state tells the version and the calls counted so far, by zone.
+// state serves the version, the number of calls by zone and the faults by zone.
 func (s *server) state(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,12 +139,13 @@
 	}
 	w.Header().Set("X-Version", strconv.FormatUint(e.version, 10))
 	if key == vmsKey {
-		e.text = seenFrom(zone, e)
+		e.text = vmListFor(zone, e)
 	}
 	_, _ = w.Write(e.text)
 }
 
-// wait gives the value a zone sees; with ?after= it waits for another version.
+// wait returns the value visible to a zone and a status code. With ?wait= it
+// waits up to that long for a version other than that of ?after=.
 func (s *server) wait(r *http.Request, zone, key string) (entry, int) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	hold, _ := time.ParseDuration(r.URL.Query().Get("wait"))
@@ -186,8 +188,8 @@
 	return entry{}, false
 }
 
-// seenFrom gives the VM list with the addresses that a zone uses.
-func seenFrom(zone string, e entry) []byte {
+// vmListFor returns the VM list with the addresses that a zone uses.
+func vmListFor(zone string, e entry) []byte {
 	var vms []vm
 	if err := json.Unmarshal(e.text, &vms); err != nil {
 		return e.text
