--- a/standin/chaos/breaker.go
+++ b/standin/chaos/breaker.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// A fault lasts from shortest to longest; calm follows it.
-	shortest = 300 * time.Millisecond
-	longest  = 2 * time.Second
-	calmFor  = 2000 * time.Millisecond
-	// settle is how long after a fault a request still counts as hit by it.
-	settle = 1000 * time.Millisecond
+	// A fault lasts minFault to maxFault, followed by faultPause without faults.
+	minFault   = 300 * time.Millisecond
+	maxFault   = 2 * time.Second
+	faultPause = 2000 * time.Millisecond
+	// settleTime is how long after a fault a request still counts as affected.
+	settleTime = 1000 * time.Millisecond
 )
 
-// fault breaks something and gives back how to mend it.
-type fault func(ctx context.Context, b *breaker) (mend func(context.Context) error, err error)
+// fault injects a fault and returns a function that removes it.
+type fault func(ctx context.Context, inj *injector) (undo func(context.Context) error, err error)
 
 var faults = map[string]fault{
 	"kill-node":      killNode,
@@ -35,21 +35,21 @@
 	"platform-down":  platformDown,
 }
 
-// span is a time during which something was broken.
+// span is a time span in which a fault was active.
 type span struct{ from, to time.Time }
 
-// breaker breaks the deployment at random, one or two faults at a time.
-type breaker struct {
-	d      *deploy.Deployment
-	rnd    *rand.Rand
-	log    func(string, ...any)
-	names  []string
-	counts map[string]int
-	mu     sync.Mutex
-	spans  []span
+// injector injects random faults into the deployment, one or two at a time.
+type injector struct {
+	d          *deploy.Deployment
+	rnd        *rand.Rand
+	log        func(string, ...any)
+	names      []string
+	counts     map[string]int
+	mu         sync.Mutex
+	faultSpans []span
 }
 
-func newBreaker(d *deploy.Deployment, opts Options) *breaker {
+func newInjector(d *deploy.Deployment, opts Options) *injector {
 	names := slices.Clone(opts.Faults)
 	if len(names) == 0 {
 		for name := range faults {
@@ -61,40 +61,40 @@
 	if log == nil {
 		log = func(string, ...any) {}
 	}
-	return &breaker{d: d, rnd: rand.New(rand.NewPCG(opts.Seed, 0)), log: log, names: names, counts: map[string]int{}}
+	return &injector{d: d, rnd: rand.New(rand.NewPCG(opts.Seed, 0)), log: log, names: names, counts: map[string]int{}}
 }
 
-// run breaks and mends until ctx ends.
-func (b *breaker) run(ctx context.Context) {
+// run injects and removes faults until ctx is cancelled.
+func (inj *injector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		from := time.Now()
-		mends := b.strike(ctx)
-		if b.rnd.IntN(4) == 0 {
-			mends = append(mends, b.strike(ctx)...)
+		undos := inj.inject(ctx)
+		if inj.rnd.IntN(4) == 0 {
+			undos = append(undos, inj.inject(ctx)...)
 		}
-		wait(ctx, shortest+time.Duration(b.rnd.Int64N(int64(longest-shortest))))
-		for _, mend := range mends {
-			if err := mend(context.WithoutCancel(ctx)); err != nil {
-				b.log("mending failed: %v", err)
+		wait(ctx, minFault+time.Duration(inj.rnd.Int64N(int64(maxFault-minFault))))
+		for _, undo := range undos {
+			if err := undo(context.WithoutCancel(ctx)); err != nil {
+				inj.log("removing a fault failed: %v", err)
 			}
 		}
-		b.mu.Lock()
-		b.spans = append(b.spans, span{from, time.Now().Add(settle)})
-		b.mu.Unlock()
-		wait(ctx, calmFor)
+		inj.mu.Lock()
+		inj.faultSpans = append(inj.faultSpans, span{from, time.Now().Add(settleTime)})
+		inj.mu.Unlock()
+		wait(ctx, faultPause)
 	}
 }
 
-// strike starts one random fault.
-func (b *breaker) strike(ctx context.Context) []func(context.Context) error {
-	name := b.names[b.rnd.IntN(len(b.names))]
-	b.counts[name]++
-	mend, err := faults[name](ctx, b)
+// inject starts one random fault.
+func (inj *injector) inject(ctx context.Context) []func(context.Context) error {
+	name := inj.names[inj.rnd.IntN(len(inj.names))]
+	inj.counts[name]++
+	undo, err := faults[name](ctx, inj)
 	if err != nil {
-		b.log("%s failed: %v", name, err)
+		inj.log("injecting fault %s failed: %v", name, err)
 		return nil
 	}
-	return []func(context.Context) error{mend}
+	return []func(context.Context) error{undo}
 }
 
 func wait(ctx context.Context, d time.Duration) {
@@ -104,99 +104,100 @@
 	}
 }
 
-// calm says whether nothing was broken between two times.
-func (b *breaker) calm(from, to time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return !slices.ContainsFunc(b.spans, func(s span) bool { return s.from.Before(to) && from.Before(s.to) })
+// faultFree reports whether no fault was active between two times.
+func (inj *injector) faultFree(from, to time.Time) bool {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	return !slices.ContainsFunc(inj.faultSpans, func(s span) bool { return s.from.Before(to) && from.Before(s.to) })
 }
 
-// mendAll takes back whatever may still be broken.
-func (b *breaker) mendAll(ctx context.Context) error {
-	if err := b.d.SetLinks(ctx); err != nil {
+// removeAll removes link faults and resumes paused processes, in case the
+// removal of a fault failed.
+func (inj *injector) removeAll(ctx context.Context) error {
+	if err := inj.d.SetLinks(ctx); err != nil {
 		return err
 	}
-	for _, p := range b.d.Places {
-		_ = b.d.Node(p.VM).Thaw()
-		_ = b.d.Backend(p.VM).Thaw()
+	for _, p := range inj.d.Places {
+		_ = inj.d.Node(p.VM).Thaw()
+		_ = inj.d.Backend(p.VM).Thaw()
 	}
 	return nil
 }
 
-func (b *breaker) place() deploy.Place { return b.d.Places[b.rnd.IntN(len(b.d.Places))] }
+func (inj *injector) randomVM() deploy.Place { return inj.d.Places[inj.rnd.IntN(len(inj.d.Places))] }
 
-func (b *breaker) zone() string {
-	zones := b.d.Fleet().Zones
-	return zones[b.rnd.IntN(len(zones))].Name
+func (inj *injector) randomZone() string {
+	zones := inj.d.Fleet().Zones
+	return zones[inj.rnd.IntN(len(zones))].Name
 }
 
-func nothing(context.Context) error { return nil }
+func noUndo(context.Context) error { return nil }
 
-func killNode(_ context.Context, b *breaker) (func(context.Context) error, error) {
-	p := b.place()
-	b.log("kill node %s", p.VM)
-	return nothing, b.d.Node(p.VM).Kill()
+func killNode(_ context.Context, inj *injector) (func(context.Context) error, error) {
+	p := inj.randomVM()
+	inj.log("kill node %s", p.VM)
+	return noUndo, inj.d.Node(p.VM).Kill()
 }
 
-func killBackend(_ context.Context, b *breaker) (func(context.Context) error, error) {
-	p := b.place()
-	b.log("kill backend server %s", p.VM)
-	return nothing, b.d.Backend(p.VM).Kill()
+func killBackend(_ context.Context, inj *injector) (func(context.Context) error, error) {
+	p := inj.randomVM()
+	inj.log("kill backend server %s", p.VM)
+	return noUndo, inj.d.Backend(p.VM).Kill()
 }
 
-func freeze(b *breaker, what string, p *deploy.Process) (func(context.Context) error, error) {
-	b.log("freeze %s", what)
+func freeze(inj *injector, what string, p *deploy.Process) (func(context.Context) error, error) {
+	inj.log("freeze %s", what)
 	return func(context.Context) error { return p.Thaw() }, p.Freeze()
 }
 
-func freezeNode(_ context.Context, b *breaker) (func(context.Context) error, error) {
-	vm := b.place().VM
-	return freeze(b, "node "+vm, b.d.Node(vm))
+func freezeNode(_ context.Context, inj *injector) (func(context.Context) error, error) {
+	vm := inj.randomVM().VM
+	return freeze(inj, "node "+vm, inj.d.Node(vm))
 }
 
-func freezeBackend(_ context.Context, b *breaker) (func(context.Context) error, error) {
-	vm := b.place().VM
-	return freeze(b, "backend server "+vm, b.d.Backend(vm))
+func freezeBackend(_ context.Context, inj *injector) (func(context.Context) error, error) {
+	vm := inj.randomVM().VM
+	return freeze(inj, "backend server "+vm, inj.d.Backend(vm))
 }
 
-func links(ctx context.Context, b *breaker, f deploy.LinkFault) (func(context.Context) error, error) {
-	f.From, f.To = b.zone(), b.zone()
-	b.log("links %+v", f)
-	mend := func(ctx context.Context) error { return b.d.SetLinks(ctx) }
-	return mend, b.d.SetLinks(ctx, f)
+func setLinkFault(ctx context.Context, inj *injector, f deploy.LinkFault) (func(context.Context) error, error) {
+	f.From, f.To = inj.randomZone(), inj.randomZone()
+	inj.log("link fault %+v", f)
+	undo := func(ctx context.Context) error { return inj.d.SetLinks(ctx) }
+	return undo, inj.d.SetLinks(ctx, f)
 }
 
-func cut(ctx context.Context, b *breaker) (func(context.Context) error, error) {
-	return links(ctx, b, deploy.LinkFault{Cut: true})
+func cut(ctx context.Context, inj *injector) (func(context.Context) error, error) {
+	return setLinkFault(ctx, inj, deploy.LinkFault{Cut: true})
 }
 
-func oneWayCut(ctx context.Context, b *breaker) (func(context.Context) error, error) {
-	return links(ctx, b, deploy.LinkFault{Drop: true})
+func oneWayCut(ctx context.Context, inj *injector) (func(context.Context) error, error) {
+	return setLinkFault(ctx, inj, deploy.LinkFault{Drop: true})
 }
 
-func silence(ctx context.Context, b *breaker) (func(context.Context) error, error) {
-	return links(ctx, b, deploy.LinkFault{Silence: true})
+func silence(ctx context.Context, inj *injector) (func(context.Context) error, error) {
+	return setLinkFault(ctx, inj, deploy.LinkFault{Silence: true})
 }
 
-func drain(ctx context.Context, b *breaker) (func(context.Context) error, error) {
-	vm := b.place().VM
-	b.log("drain %s", vm)
-	mend := func(ctx context.Context) error {
-		return b.d.SetBackend(ctx, vm, map[string]any{"state": "live"})
+func drain(ctx context.Context, inj *injector) (func(context.Context) error, error) {
+	vm := inj.randomVM().VM
+	inj.log("drain %s", vm)
+	undo := func(ctx context.Context) error {
+		return inj.d.SetBackend(ctx, vm, map[string]any{"state": "live"})
 	}
-	return mend, b.d.SetBackend(ctx, vm, map[string]any{"state": "draining"})
+	return undo, inj.d.SetBackend(ctx, vm, map[string]any{"state": "draining"})
 }
 
-func vmLeaving(ctx context.Context, b *breaker) (func(context.Context) error, error) {
-	vm := b.place().VM
-	b.log("VM %s is listed as leaving", vm)
-	mend := func(ctx context.Context) error { return b.d.SetVM(ctx, vm, "live") }
-	return mend, b.d.SetVM(ctx, vm, "leaving")
+func vmLeaving(ctx context.Context, inj *injector) (func(context.Context) error, error) {
+	vm := inj.randomVM().VM
+	inj.log("VM %s is listed as leaving", vm)
+	undo := func(ctx context.Context) error { return inj.d.SetVM(ctx, vm, "live") }
+	return undo, inj.d.SetVM(ctx, vm, "leaving")
 }
 
-func platformDown(ctx context.Context, b *breaker) (func(context.Context) error, error) {
-	zone := b.zone()
-	b.log("platform down for %s", zone)
-	mend := func(ctx context.Context) error { return b.d.SetPlatform(ctx, zone, deploy.PlatformFault{}) }
-	return mend, b.d.SetPlatform(ctx, zone, deploy.PlatformFault{Down: true})
+func platformDown(ctx context.Context, inj *injector) (func(context.Context) error, error) {
+	zone := inj.randomZone()
+	inj.log("platform down for %s", zone)
+	undo := func(ctx context.Context) error { return inj.d.SetPlatform(ctx, zone, deploy.PlatformFault{}) }
+	return undo, inj.d.SetPlatform(ctx, zone, deploy.PlatformFault{Down: true})
 }
--- a/standin/chaos/caller.go
+++ b/standin/chaos/caller.go
@@ -16,16 +16,18 @@
 )
 
 const (
-	// timeout is the deadline a caller gives, patience how long it waits itself.
-	timeout  = 2 * time.Second
-	patience = 3 * time.Second
-	// maxSends bounds how often a caller sends one request.
+	// timeout is the deadline sent with a request; clientTimeout is how long the
+	// caller itself waits.
+	timeout       = 2 * time.Second
+	clientTimeout = 3 * time.Second
+	// maxSends limits how often a caller sends one request.
 	maxSends = 5
-	// pause comes before a request is sent again.
-	pause    = 100 * time.Millisecond
-	bodySize = 300
-	// doubleOneIn of the requests with a ticket or key are sent twice at once.
-	doubleOneIn = 4
+	// resendPause is the wait before a request is sent again.
+	resendPause = 100 * time.Millisecond
+	bodySize    = 300
+	// One in duplicateOneIn requests with a ticket or key is sent as two
+	// concurrent copies.
+	duplicateOneIn = 4
 )
 
 // caller sends one request at a time.
@@ -36,7 +38,7 @@
 }
 
 func newCaller(d *deploy.Deployment, rnd *rand.Rand) *caller {
-	return &caller{d: d, rnd: rnd, client: &http.Client{Transport: &http.Transport{}, Timeout: patience}}
+	return &caller{d: d, rnd: rnd, client: &http.Client{Transport: &http.Transport{}, Timeout: clientTimeout}}
 }
 
 func (c *caller) close() { c.client.CloseIdleConnections() }
@@ -49,8 +51,8 @@
 	{"depot", "/payouts/run"},
 }
 
-// one sends a request until it has a definite answer, or gives up.
-func (c *caller) one(ctx context.Context) result {
+// sendRequest sends a request until its outcome is known or the sends are used up.
+func (c *caller) sendRequest(ctx context.Context) result {
 	r := result{id: uuid.NewString(), start: time.Now()}
 	r.style = []Style{Plain, OwnKey, Ticket}[c.rnd.IntN(3)]
 	to := endpoints[c.rnd.IntN(len(endpoints))]
@@ -59,49 +61,49 @@
 		body[i] = byte(c.rnd.Uint32())
 	}
 	key := c.key(ctx, r.style, to, r.id)
-	r.doubled = key != "" && c.rnd.IntN(doubleOneIn) == 0
-	c.first(ctx, &r, to, key, body)
+	r.duplicated = key != "" && c.rnd.IntN(duplicateOneIn) == 0
+	c.sendFirst(ctx, &r, to, key, body)
 	for r.outcome == Unknown && r.style != Plain && key != "" && r.sends < maxSends && ctx.Err() == nil {
-		time.Sleep(pause)
+		time.Sleep(resendPause)
 		r.sends++
-		r.hear(c.send(ctx, r.id, c.place(), to, key, body))
+		r.record(c.send(ctx, r.id, c.randomVM(), to, key, body))
 	}
 	r.end = time.Now()
 	return r
 }
 
-// first sends the request, or two copies of it through two nodes at once, as a
-// caller does whose client library hedges.
-func (c *caller) first(ctx context.Context, r *result, to endpoint, key string, body []byte) {
-	a, b := c.place(), c.place()
+// sendFirst sends the request, or two concurrent copies through two nodes, like
+// a client library that hedges.
+func (c *caller) sendFirst(ctx context.Context, r *result, to endpoint, key string, body []byte) {
+	a, b := c.randomVM(), c.randomVM()
 	r.sends++
-	if !r.doubled {
-		r.hear(c.send(ctx, r.id, a, to, key, body))
+	if !r.duplicated {
+		r.record(c.send(ctx, r.id, a, to, key, body))
 		return
 	}
 	r.sends++
-	copied := make(chan told, 1)
+	copied := make(chan reply, 1)
 	go func() { copied <- c.send(ctx, r.id, b, to, key, body) }()
-	r.hear(c.send(ctx, r.id, a, to, key, body))
-	r.hear(<-copied)
+	r.record(c.send(ctx, r.id, a, to, key, body))
+	r.record(<-copied)
 }
 
-// told is what one sending was told.
-type told struct {
+// reply is the result of sending a request once.
+type reply struct {
 	outcome Outcome
 	detail  string
 }
 
-// hear takes what a sending was told; what is known better stays.
-func (r *result) hear(t told) {
-	r.deniedRun = r.deniedRun || t.outcome == NotRun
+// record merges a reply into the result. The more definite outcome is kept.
+func (r *result) record(t reply) {
+	r.reportedNotRun = r.reportedNotRun || t.outcome == NotRun
 	rank := map[Outcome]int{"": 0, Unknown: 1, NotRun: 2, Ran: 3, Wrong: 4}
 	if rank[t.outcome] >= rank[r.outcome] {
 		r.outcome, r.detail = t.outcome, t.detail
 	}
 }
 
-func (c *caller) place() deploy.Place { return c.d.Places[c.rnd.IntN(len(c.d.Places))] }
+func (c *caller) randomVM() deploy.Place { return c.d.Places[c.rnd.IntN(len(c.d.Places))] }
 
 func (c *caller) key(ctx context.Context, s Style, to endpoint, id string) string {
 	switch s {
@@ -113,10 +115,11 @@
 	return ""
 }
 
-// ticket obtains a ticket from any node; without one the request is sent plain.
+// ticket obtains a ticket from any node. It returns "" on failure; the request is
+// then sent without one.
 func (c *caller) ticket(ctx context.Context, to endpoint) string {
 	for range maxSends {
-		req := c.request(ctx, c.place(), to, nil)
+		req := c.request(ctx, c.randomVM(), to, nil)
 		req.Header.Set(headers.Ticket, "request")
 		resp, err := c.client.Do(req)
 		if err != nil {
@@ -127,7 +130,7 @@
 		if ticket := resp.Header.Get(headers.Ticket); ticket != "" {
 			return ticket
 		}
-		time.Sleep(pause)
+		time.Sleep(resendPause)
 	}
 	return ""
 }
@@ -135,15 +138,15 @@
 func (c *caller) request(ctx context.Context, p deploy.Place, to endpoint, body []byte) *http.Request {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Callers()+to.path, bytes.NewReader(body))
 	if err != nil {
-		panic(err) // The addresses are the deployment's own.
+		panic(err) // Can't happen: the deployment's addresses are valid.
 	}
 	req.Header.Set(headers.Service, to.service)
 	req.Header.Set(headers.TimeoutMs, strconv.FormatInt(timeout.Milliseconds(), 10))
 	return req
 }
 
-// send sends the request once and gives what it was told.
-func (c *caller) send(ctx context.Context, id string, p deploy.Place, to endpoint, key string, body []byte) told {
+// send sends the request once and returns the reply.
+func (c *caller) send(ctx context.Context, id string, p deploy.Place, to endpoint, key string, body []byte) reply {
 	req := c.request(ctx, p, to, body)
 	req.Header.Set(headers.RequestID, id)
 	if key != "" {
@@ -151,21 +154,21 @@
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return told{Unknown, "no answer"}
+		return reply{Unknown, "no answer"}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	got, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return told{Unknown, "answer cut"}
+		return reply{Unknown, "answer truncated"}
 	}
 	if k := resp.Header.Get(headers.Kind); k != "" {
-		return told{Outcome(resp.Header.Get(headers.Outcome)), k}
+		return reply{Outcome(resp.Header.Get(headers.Outcome)), k}
 	}
 	switch {
 	case resp.StatusCode != http.StatusOK:
-		return told{Wrong, resp.Status}
+		return reply{Wrong, resp.Status}
 	case resp.Header.Get(headers.RequestID) != id || !bytes.Equal(got, body):
-		return told{Wrong, "not the answer to this request"}
+		return reply{Wrong, "not the answer to this request"}
 	}
-	return told{Ran, ""}
+	return reply{Ran, ""}
 }
--- a/standin/chaos/chaos.go
+++ b/standin/chaos/chaos.go
@@ -1,6 +1,6 @@
 // Package chaos sends at-most-once requests to a deployment of real processes
-// while it breaks the deployment at random, and then compares what callers were
-// told with what the backend servers' ledgers say. It never ships.
+// while it injects random faults, and then compares the outcomes reported to
+// callers with the backend servers' ledgers. It is not part of a release.
 package chaos
 
 import (
@@ -15,36 +15,36 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// Options say how much to send and what to break.
+// Options configure the load and the faults of a run.
 type Options struct {
-	// Requests is how many requests are sent in all.
+	// Requests is the total number of requests.
 	Requests int
-	// Callers is how many callers send at the same time.
+	// Callers is the number of concurrent callers.
 	Callers int
-	// Pace is the time from one request of a caller to its next.
+	// Interval is the minimum time between the starts of a caller's requests.
 	Pace time.Duration
-	// Seed decides every random choice; the interleaving of processes stays free.
+	// Seed determines all random choices, but not the interleaving of processes.
 	Seed uint64
 	// Faults are the kinds of fault to draw from; empty means all of them.
 	Faults []string
-	// Log gets a line for each fault.
+	// Log is called for each fault; nil disables logging.
 	Log func(format string, args ...any)
 }
 
-// Style is how a caller protects itself against running twice.
+// Style is how a caller protects a request against running twice.
 type Style string
 
 // The styles of callers.
 const (
-	// Plain sends once and never again.
+	// Plain sends the request once, without a key or ticket.
 	Plain Style = "plain"
-	// OwnKey sends again under a key of the caller's own.
+	// OwnKey resends under a key that the caller generates.
 	OwnKey Style = "own-key"
-	// Ticket first obtains a ticket, and sends again under it.
+	// Ticket first obtains a ticket and resends under it.
 	Ticket Style = "ticket"
 )
 
-// Outcome is what a caller was told in the end.
+// Outcome is the final outcome of a request as seen by its caller.
 type Outcome string
 
 // The outcomes.
@@ -55,25 +55,26 @@
 	Wrong   Outcome = "wrong"
 )
 
-// result is the story of one request.
+// result is the result of one request.
 type result struct {
 	id      string
 	style   Style
 	outcome Outcome
 	detail  string
 	sends   int
-	// deniedRun says that some sending was told not-run: under a ticket or key
-	// that speaks of every copy.
-	deniedRun  bool
-	doubled    bool
-	start, end time.Time
+	// reportedNotRun is true if any copy was answered not-run. Under a ticket or
+	// key that answer covers every copy.
+	reportedNotRun bool
+	duplicated     bool
+	start, end     time.Time
 }
 
-// Count is a row of a report.
+// Count holds the outcome counts of one style.
 type Count struct {
 	Run, NotRun, Unknown int
-	// UnknownInCalm are unknown outcomes of requests during which nothing was broken.
-	UnknownInCalm, Calm int
+	// FaultFree counts requests during which no fault was active, and
+	// UnknownFaultFree those of them whose outcome is unknown.
+	UnknownFaultFree, FaultFree int
 }
 
 // Report is the result of a run.
@@ -81,24 +82,24 @@
 	Seed    uint64
 	Sent    int
 	Resends int
-	// Doubled are requests of which two copies were sent at the same time.
-	Doubled int
-	ByStyle map[Style]Count
-	Faults  map[string]int
-	// Violations are broken promises, one line each.
+	// Duplicated counts the requests sent as two concurrent copies.
+	Duplicated int
+	ByStyle    map[Style]Count
+	Faults     map[string]int
+	// Violations describes each violated guarantee in one line.
 	Violations []string
-	// Kinds counts the error kinds behind outcomes other than run.
+	// Kinds counts the outcomes other than run by outcome and error kind.
 	Kinds map[string]int
 }
 
-// String gives the report as a small table.
+// String returns the report as a small table.
 func (r *Report) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d: %d requests, %d of them two copies at once, %d sent again in all, %d violations\n", r.Seed, r.Sent, r.Doubled, r.Resends, len(r.Violations))
+	fmt.Fprintf(&b, "seed %d: %d requests, %d of them two copies at once, %d sent again in all, %d violations\n", r.Seed, r.Sent, r.Duplicated, r.Resends, len(r.Violations))
 	for _, s := range []Style{Plain, OwnKey, Ticket} {
 		c := r.ByStyle[s]
 		fmt.Fprintf(&b, "  %-8s run %d, not-run %d, unknown %d (while nothing was broken: %d of %d)\n",
-			s, c.Run, c.NotRun, c.Unknown, c.UnknownInCalm, c.Calm)
+			s, c.Run, c.NotRun, c.Unknown, c.UnknownFaultFree, c.FaultFree)
 	}
 	for _, list := range []map[string]int{r.Faults, r.Kinds} {
 		b.WriteString(" ")
@@ -119,20 +120,20 @@
 	return keys
 }
 
-// Run sends the requests while it breaks the deployment, mends it, and
-// compares answers with ledgers.
+// Run sends the requests while faults are injected, removes all faults, and
+// compares the answers with the ledgers.
 func Run(ctx context.Context, d *deploy.Deployment, opts Options) (*Report, error) {
-	breaker := newBreaker(d, opts)
-	breaking, stop := context.WithCancel(ctx)
-	var broken sync.WaitGroup
-	broken.Go(func() { breaker.run(breaking) })
+	inj := newInjector(d, opts)
+	injectCtx, stop := context.WithCancel(ctx)
+	var injecting sync.WaitGroup
+	injecting.Go(func() { inj.run(injectCtx) })
 	results := sendAll(ctx, d, opts)
 	stop()
-	broken.Wait()
-	if err := breaker.mendAll(ctx); err != nil {
+	injecting.Wait()
+	if err := inj.removeAll(ctx); err != nil {
 		return nil, err
 	}
-	return judge(d, opts, results, breaker)
+	return evaluate(d, opts, results, inj)
 }
 
 func sendAll(ctx context.Context, d *deploy.Deployment, opts Options) []result {
@@ -144,7 +145,7 @@
 			defer c.close()
 			for n := i; n < opts.Requests && ctx.Err() == nil; n += opts.Callers {
 				next := time.Now().Add(opts.Pace)
-				perCaller[i] = append(perCaller[i], c.one(ctx))
+				perCaller[i] = append(perCaller[i], c.sendRequest(ctx))
 				wait(ctx, time.Until(next))
 			}
 		})
@@ -153,42 +154,42 @@
 	return slices.Concat(perCaller...)
 }
 
-// judge compares what callers were told with what ran.
-func judge(d *deploy.Deployment, opts Options, results []result, b *breaker) (*Report, error) {
+// evaluate compares the outcomes reported to callers with the ledgers.
+func evaluate(d *deploy.Deployment, opts Options, results []result, inj *injector) (*Report, error) {
 	starts, err := d.Starts()
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Seed: opts.Seed, Sent: len(results), ByStyle: map[Style]Count{}, Faults: b.counts, Kinds: map[string]int{}}
+	r := &Report{Seed: opts.Seed, Sent: len(results), ByStyle: map[Style]Count{}, Faults: inj.counts, Kinds: map[string]int{}}
 	for _, one := range results {
 		r.Resends += one.sends - 1
-		if one.doubled {
-			r.Doubled++
+		if one.duplicated {
+			r.Duplicated++
 		}
-		r.count(one, b.calm(one.start, one.end))
+		r.count(one, inj.faultFree(one.start, one.end))
 		ran := starts[one.id]
 		switch {
 		case ran > 1:
-			r.violate(one, "ran %d times", ran)
+			r.addViolation(one, "ran %d times", ran)
 		case one.outcome == Ran && ran == 0:
-			r.violate(one, "was answered but isn't in a ledger")
-		case one.deniedRun && ran > 0:
-			r.violate(one, "was told not-run (%s) but ran", one.detail)
+			r.addViolation(one, "was answered but isn't in a ledger")
+		case one.reportedNotRun && ran > 0:
+			r.addViolation(one, "was answered not-run (%s) but ran", one.detail)
 		case one.outcome == Wrong:
-			r.violate(one, "got a wrong answer: %s", one.detail)
+			r.addViolation(one, "got a wrong answer: %s", one.detail)
 		}
 	}
 	return r, nil
 }
 
-func (r *Report) violate(one result, format string, args ...any) {
+func (r *Report) addViolation(one result, format string, args ...any) {
 	r.Violations = append(r.Violations, fmt.Sprintf("%s (%s) ", one.id, one.style)+fmt.Sprintf(format, args...))
 }
 
-func (r *Report) count(one result, calm bool) {
+func (r *Report) count(one result, faultFree bool) {
 	c := r.ByStyle[one.style]
-	if calm {
-		c.Calm++
+	if faultFree {
+		c.FaultFree++
 	}
 	switch one.outcome {
 	case Ran:
@@ -197,8 +198,8 @@
 		c.NotRun++
 	case Unknown:
 		c.Unknown++
-		if calm {
-			c.UnknownInCalm++
+		if faultFree {
+			c.UnknownFaultFree++
 		}
 	}
 	if one.outcome != Ran {
