--- a/standin/matrix/arrange.go
+++ b/standin/matrix/arrange.go
@@ -7,23 +7,23 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// arrange sets up what will keep the request at its step.
-func (w *worker) arrange(ctx context.Context, x *exchange) error {
+// prepareHold sets up the holds that will stop the request at its step.
+func (w *worker) prepareHold(ctx context.Context, x *exchange) error {
 	guardPort := fmt.Sprint(w.d.Fleet().Ports.Guard)
 	switch x.cell.Step {
 	case Chosen:
 		return w.holdLink(ctx, deploy.LinkFault{From: frontZone, To: w.zone, Hold: true, Port: guardPort})
 	case Sent:
-		// The guard gets the start of the request's header and waits for the rest.
-		const some = 20
-		return w.holdLink(ctx, deploy.LinkFault{From: frontZone, To: w.zone, Hold: true, HoldAfter: some, Port: guardPort})
+		// The guard receives the start of the request's header and waits for the rest.
+		const headerStart = 20
+		return w.holdLink(ctx, deploy.LinkFault{From: frontZone, To: w.zone, Hold: true, HoldAfter: headerStart, Port: guardPort})
 	case Undelivered:
 		return w.holdLink(ctx, deploy.LinkFault{From: w.zone, To: frontZone, Hold: true, Port: guardPort})
 	case Recorded:
-		if err := w.fill(ctx); err != nil {
+		if err := w.fillSlots(ctx); err != nil {
 			return err
 		}
-		x.queued = w.queues(ctx)
+		x.queuedBefore = w.queues(ctx)
 	}
 	return nil
 }
@@ -34,20 +34,20 @@
 	return err
 }
 
-// fill takes every slot of the service with reads that are held, so that the
+// fillSlots occupies every slot of the service with held reads, so that the
 // request of the cell waits in a guard's queue.
-func (w *worker) fill(ctx context.Context) error {
+func (w *worker) fillSlots(ctx context.Context) error {
 	const tries = 4 * perZone
 	full := map[string]bool{}
-	for n := 0; len(full) < len(w.homes); n++ {
+	for n := 0; len(full) < len(w.targets); n++ {
 		if n == tries {
 			return errUnreached
 		}
 		x := w.newExchange(ctx, Cell{Style: Read, Step: Running})
-		x.front = w.homes[n%len(w.homes)]
+		x.front = w.targets[n%len(w.targets)]
 		x.send()
 		w.holds = append(w.holds, func(context.Context) error {
-			x.wait(patience)
+			x.wait(clientTimeout)
 			x.cancel()
 			return nil
 		})
@@ -58,18 +58,18 @@
 	return nil
 }
 
-// releaseAll lets everything that is held go on.
+// releaseAll removes all holds and resumes the held requests.
 func (w *worker) releaseAll(ctx context.Context) error {
 	holds := w.holds
 	w.holds = nil
-	for _, home := range w.homes {
-		// One that is dead has nothing to release.
-		_ = w.d.Release(ctx, home.VM, w.held...)
+	for _, target := range w.targets {
+		// Errors are ignored: a stopped backend server holds no requests.
+		_ = w.d.Release(ctx, target.VM, w.heldIDs...)
 	}
-	w.held = nil
+	w.heldIDs = nil
 	var first error
-	for _, take := range holds {
-		if err := take(ctx); err != nil && first == nil {
+	for _, remove := range holds {
+		if err := remove(ctx); err != nil && first == nil {
 			first = err
 		}
 	}
--- a/standin/matrix/exchange.go
+++ b/standin/matrix/exchange.go
@@ -13,20 +13,21 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// Outcome is what a caller was told.
+// Outcome is the outcome of a request as reported to its caller.
 type Outcome string
 
 // The outcomes.
 const (
-	Ran         Outcome = "run"
-	ToldNotRun  Outcome = "not-run"
-	ToldUnknown Outcome = "unknown"
-	Wrong       Outcome = "wrong"
+	Ran             Outcome = "run"
+	ReportedNotRun  Outcome = "not-run"
+	ReportedUnknown Outcome = "unknown"
+	Wrong           Outcome = "wrong"
 )
 
 const bodySize = 2000
 
-// exchange is one request of a caller, with a second sending where the cell has one.
+// exchange is one request of a caller, including the second copy if the cell
+// sends one.
 type exchange struct {
 	w      *worker
 	ctx    context.Context
@@ -35,25 +36,26 @@
 	id     string
 	key    string
 	hold   string
-	// queued is how many waited at each guard before the request was sent.
-	queued map[string]int
-	front  deploy.Place
-	body   []byte
-	half   chan struct{}
-	onward chan struct{}
-	ended  sync.WaitGroup
-	done   chan struct{}
-	mu     sync.Mutex
-	// outcome and detail are of the first sending, unless the second knows more.
-	outcome Outcome
-	detail  string
-	by      string
+	// queuedBefore is the queue length of each guard before the request was sent.
+	queuedBefore map[string]int
+	front        deploy.Place
+	body         []byte
+	halfSent     chan struct{}
+	resumeBody   chan struct{}
+	ended        sync.WaitGroup
+	done         chan struct{}
+	mu           sync.Mutex
+	// outcome, detail and answeredBy are those of the most significant answer;
+	// see recordOutcome.
+	outcome    Outcome
+	detail     string
+	answeredBy string
 }
 
 func (w *worker) newExchange(ctx context.Context, c Cell) *exchange {
 	x := &exchange{
 		w: w, cell: c, id: newID(), front: w.fronts[0],
-		half: make(chan struct{}), onward: make(chan struct{}), done: make(chan struct{}),
+		halfSent: make(chan struct{}), resumeBody: make(chan struct{}), done: make(chan struct{}),
 	}
 	x.ctx, x.cancel = context.WithCancel(ctx)
 	x.body = bytes.Repeat([]byte(x.id), bodySize/len(x.id))
@@ -63,14 +65,14 @@
 	case Answering:
 		x.hold = "answering"
 	}
-	w.held = append(w.held, x.id)
+	w.heldIDs = append(w.heldIDs, x.id)
 	if c.Style == Ticket {
 		x.key = w.ticket(ctx)
 	}
 	return x
 }
 
-// ticket obtains a ticket from the first node for callers.
+// ticket obtains a ticket from the first front node. It returns "" on failure.
 func (w *worker) ticket(ctx context.Context) string {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+w.fronts[0].Callers()+"/once/x", nil)
 	if err != nil {
@@ -86,62 +88,62 @@
 	return resp.Header.Get(headers.Ticket)
 }
 
-// send starts the first sending.
+// send starts sending the first copy of the request.
 func (x *exchange) send() {
 	body := io.Reader(bytes.NewReader(x.body))
 	if x.cell.Step == Accepted {
-		body = &halved{x: x}
+		body = &pausingBody{x: x}
 		x.w.holds = append(x.w.holds, func(context.Context) error {
-			close(x.onward)
+			close(x.resumeBody)
 			return nil
 		})
 	}
-	x.ended.Go(func() { x.exchange(x.front, body) })
+	x.ended.Go(func() { x.sendThrough(x.front, body) })
 	go func() {
 		x.ended.Wait()
 		close(x.done)
 	}()
 }
 
-// sendAgain sends a copy through another node while the first is under way.
+// sendAgain sends a second copy through another node while the first is in progress.
 func (x *exchange) sendAgain(front deploy.Place) {
-	x.ended.Go(func() { x.exchange(front, bytes.NewReader(x.body)) })
+	x.ended.Go(func() { x.sendThrough(front, bytes.NewReader(x.body)) })
 }
 
-// halved is a body that stops in its middle until the cell lets it go on.
-type halved struct {
-	x  *exchange
-	at int
+// pausingBody is a request body that blocks at its middle until resumeBody is closed.
+type pausingBody struct {
+	x      *exchange
+	offset int
 }
 
-func (h *halved) Read(p []byte) (int, error) {
+func (h *pausingBody) Read(p []byte) (int, error) {
 	middle := len(h.x.body) / 2
-	if h.at == middle {
-		close(h.x.half)
-		<-h.x.onward
+	if h.offset == middle {
+		close(h.x.halfSent)
+		<-h.x.resumeBody
 	}
 	end := len(h.x.body)
-	if h.at < middle {
+	if h.offset < middle {
 		end = middle
 	}
-	if h.at == end {
+	if h.offset == end {
 		return 0, io.EOF
 	}
-	n := copy(p, h.x.body[h.at:end])
-	h.at += n
+	n := copy(p, h.x.body[h.offset:end])
+	h.offset += n
 	return n, nil
 }
 
 func (x *exchange) waitHalfSent() error {
 	select {
-	case <-x.half:
+	case <-x.halfSent:
 		return nil
 	case <-time.After(reachLimit):
 		return errUnreached
 	}
 }
 
-// wait waits for the end of all sendings, up to a limit.
+// wait waits until all copies have been answered or have failed, up to a limit.
 func (x *exchange) wait(limit time.Duration) {
 	select {
 	case <-x.done:
@@ -149,14 +151,14 @@
 	}
 }
 
-func (x *exchange) exchange(front deploy.Place, body io.Reader) {
+func (x *exchange) sendThrough(front deploy.Place, body io.Reader) {
 	path := "/once/"
 	if x.cell.Style == Read {
 		path = "/read/"
 	}
 	req, err := http.NewRequestWithContext(x.ctx, http.MethodPost, "http://"+front.Callers()+path+x.id, body)
 	if err != nil {
-		x.tell(Wrong, err.Error(), "")
+		x.recordOutcome(Wrong, err.Error(), "")
 		return
 	}
 	req.ContentLength = int64(len(x.body))
@@ -171,13 +173,13 @@
 	if len(x.cell.Faults) > 0 && strings.Contains(strings.Join(x.cell.Faults, ","), "killing request") {
 		req.Header.Set("X-Standin-Crash", "1")
 	}
-	x.tellAnswer(req)
+	x.roundTrip(req)
 }
 
-func (x *exchange) tellAnswer(req *http.Request) {
+func (x *exchange) roundTrip(req *http.Request) {
 	resp, err := x.w.client.Do(req)
 	if err != nil {
-		x.tell(ToldUnknown, "no answer", "")
+		x.recordOutcome(ReportedUnknown, "no answer", "")
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
@@ -185,25 +187,26 @@
 	by := resp.Header.Get("X-Standin-Name")
 	switch {
 	case err != nil:
-		x.tell(ToldUnknown, "answer visibly cut", by)
+		x.recordOutcome(ReportedUnknown, "answer truncated", by)
 	case resp.Header.Get(headers.Kind) != "":
-		x.tell(Outcome(resp.Header.Get(headers.Outcome)), resp.Header.Get(headers.Kind), by)
+		x.recordOutcome(Outcome(resp.Header.Get(headers.Outcome)), resp.Header.Get(headers.Kind), by)
 	case resp.StatusCode == http.StatusInternalServerError:
-		x.tell(ToldUnknown, "the backend server failed", by)
+		x.recordOutcome(ReportedUnknown, "the backend server failed", by)
 	case resp.StatusCode != http.StatusOK || !bytes.Equal(got, x.body):
-		x.tell(Wrong, "not the answer to this request: "+resp.Status, by)
+		x.recordOutcome(Wrong, "not the answer to this request: "+resp.Status, by)
 	default:
-		x.tell(Ran, "", by)
+		x.recordOutcome(Ran, "", by)
 	}
 }
 
-// tell notes what a sending was told. A wrong answer stays; not-run by either
-// sending stays too, because it speaks of both; else the better known counts.
-func (x *exchange) tell(o Outcome, detail, by string) {
+// recordOutcome merges the outcome of one copy. A wrong answer takes precedence,
+// then not-run, because it covers both copies; otherwise the more definite
+// outcome is kept.
+func (x *exchange) recordOutcome(o Outcome, detail, by string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	rank := map[Outcome]int{"": 0, ToldUnknown: 1, Ran: 2, ToldNotRun: 3, Wrong: 4}
+	rank := map[Outcome]int{"": 0, ReportedUnknown: 1, Ran: 2, ReportedNotRun: 3, Wrong: 4}
 	if rank[o] >= rank[x.outcome] {
-		x.outcome, x.detail, x.by = o, detail, by
+		x.outcome, x.detail, x.answeredBy = o, detail, by
 	}
 }
--- a/standin/matrix/fault.go
+++ b/standin/matrix/fault.go
@@ -8,24 +8,26 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// mend takes a fault back.
-type mend func(context.Context) error
+// undo removes a fault.
+type undo func(context.Context) error
 
-func nothing(context.Context) error { return nil }
+func noUndo(context.Context) error { return nil }
 
 const gracefulStop = "graceful stop"
 
-// fault breaks something for the VM that has the request of a cell.
+// fault is a fault injected at the VM that has the request of a cell.
 type fault struct {
 	name   string
-	strike func(ctx context.Context, w *worker, vm string) (mend, error)
-	// leaves says that the VM leaves: it gets no new work and finishes what it has.
+	inject func(ctx context.Context, w *worker, vm string) (undo, error)
+	// leaves is true if the VM drains: it gets no new requests and finishes those
+	// in flight.
 	leaves bool
-	// harmless says that a read must be served nevertheless.
-	harmless bool
-	// never says why the fault applies at no step, and only limits it to one.
-	never string
-	only  Step
+	// readsServed is true if a read must be served in spite of the fault.
+	readsServed bool
+	// notApplicable is the reason why the fault applies at no step, if set. onlyAt
+	// limits the fault to one step, if set.
+	notApplicable string
+	onlyAt        Step
 }
 
 // Faults lists the names of all faults in order.
@@ -43,83 +45,83 @@
 			return f
 		}
 	}
-	return fault{never: "no such fault"}
+	return fault{notApplicable: "no such fault"}
 }
 
 var faults = []fault{
-	{name: "slow down", strike: backendSet(map[string]any{"service_ms": 300}, map[string]any{"service_ms": 2}), harmless: true},
-	{name: "drain", strike: backendSet(map[string]any{"state": "draining"}, map[string]any{"state": "live"}), leaves: true, harmless: true},
-	{name: "listed as leaving", strike: listLeaving, leaves: true, harmless: true},
-	{name: gracefulStop, strike: stopNode, leaves: true, harmless: true},
-	{name: "fail fast", strike: backendSet(map[string]any{"fail_fast": true}, map[string]any{"fail_fast": false})},
-	{name: "crash", strike: killBackend, harmless: true},
-	{name: "process killed", strike: killNode, harmless: true},
-	{name: "frozen, woken late", strike: freezeNode, harmless: true},
-	{name: "platform down", strike: platform(deploy.PlatformFault{Down: true}), harmless: true},
-	{name: "platform stale", strike: platform(deploy.PlatformFault{FrozenAt: 1}), harmless: true},
-	{name: "partition", strike: cutLink},
-	{name: "one-way cut", strike: oneWay},
-	{name: "silent connection", strike: silence, harmless: true},
-	{name: "killing request", strike: noStrike, only: Running},
-	{name: "operator race", strike: race, harmless: true},
-	{name: "clock jump", never: "no clock of the machine enters a decision but to notice that it stood still; the core takes time as an argument"},
+	{name: "slow down", inject: backendSet(map[string]any{"service_ms": 300}, map[string]any{"service_ms": 2}), readsServed: true},
+	{name: "drain", inject: backendSet(map[string]any{"state": "draining"}, map[string]any{"state": "live"}), leaves: true, readsServed: true},
+	{name: "listed as leaving", inject: listLeaving, leaves: true, readsServed: true},
+	{name: gracefulStop, inject: stopNode, leaves: true, readsServed: true},
+	{name: "fail fast", inject: backendSet(map[string]any{"fail_fast": true}, map[string]any{"fail_fast": false})},
+	{name: "crash", inject: killBackend, readsServed: true},
+	{name: "process killed", inject: killNode, readsServed: true},
+	{name: "frozen, woken late", inject: freezeNode, readsServed: true},
+	{name: "platform down", inject: platform(deploy.PlatformFault{Down: true}), readsServed: true},
+	{name: "platform stale", inject: platform(deploy.PlatformFault{FrozenAt: 1}), readsServed: true},
+	{name: "partition", inject: cutLink},
+	{name: "one-way cut", inject: oneWay},
+	{name: "silent connection", inject: silence, readsServed: true},
+	{name: "killing request", inject: injectNothing, onlyAt: Running},
+	{name: "operator race", inject: publishConflict, readsServed: true},
+	{name: "clock jump", notApplicable: "no clock of the machine enters a decision but to notice that it stood still; the core takes time as an argument"},
 }
 
-func noStrike(context.Context, *worker, string) (mend, error) { return nothing, nil }
+func injectNothing(context.Context, *worker, string) (undo, error) { return noUndo, nil }
 
-func backendSet(broken, mended map[string]any) func(context.Context, *worker, string) (mend, error) {
-	return func(ctx context.Context, w *worker, vm string) (mend, error) {
-		back := func(ctx context.Context) error { return w.d.SetBackend(ctx, vm, mended) }
-		return back, w.d.SetBackend(ctx, vm, broken)
+func backendSet(faulty, normal map[string]any) func(context.Context, *worker, string) (undo, error) {
+	return func(ctx context.Context, w *worker, vm string) (undo, error) {
+		back := func(ctx context.Context) error { return w.d.SetBackend(ctx, vm, normal) }
+		return back, w.d.SetBackend(ctx, vm, faulty)
 	}
 }
 
-func listLeaving(ctx context.Context, w *worker, vm string) (mend, error) {
+func listLeaving(ctx context.Context, w *worker, vm string) (undo, error) {
 	back := func(ctx context.Context) error { return w.d.SetVM(ctx, vm, "live") }
 	return back, w.d.SetVM(ctx, vm, "leaving")
 }
 
-func stopNode(_ context.Context, w *worker, vm string) (mend, error) {
-	return nothing, w.d.Node(vm).Signal(syscall.SIGTERM)
+func stopNode(_ context.Context, w *worker, vm string) (undo, error) {
+	return noUndo, w.d.Node(vm).Signal(syscall.SIGTERM)
 }
 
-func killBackend(_ context.Context, w *worker, vm string) (mend, error) {
-	return nothing, w.d.Backend(vm).Kill()
+func killBackend(_ context.Context, w *worker, vm string) (undo, error) {
+	return noUndo, w.d.Backend(vm).Kill()
 }
 
-func killNode(_ context.Context, w *worker, vm string) (mend, error) {
-	return nothing, w.d.Node(vm).Kill()
+func killNode(_ context.Context, w *worker, vm string) (undo, error) {
+	return noUndo, w.d.Node(vm).Kill()
 }
 
-func freezeNode(_ context.Context, w *worker, vm string) (mend, error) {
+func freezeNode(_ context.Context, w *worker, vm string) (undo, error) {
 	p := w.d.Node(vm)
 	return func(context.Context) error { return p.Thaw() }, p.Freeze()
 }
 
-func platform(f deploy.PlatformFault) func(context.Context, *worker, string) (mend, error) {
-	return func(ctx context.Context, w *worker, _ string) (mend, error) {
+func platform(f deploy.PlatformFault) func(context.Context, *worker, string) (undo, error) {
+	return func(ctx context.Context, w *worker, _ string) (undo, error) {
 		back := func(ctx context.Context) error { return w.d.SetPlatform(ctx, w.zone, deploy.PlatformFault{}) }
 		return back, w.d.SetPlatform(ctx, w.zone, f)
 	}
 }
 
-func cutLink(ctx context.Context, w *worker, _ string) (mend, error) {
+func cutLink(ctx context.Context, w *worker, _ string) (undo, error) {
 	return w.links.add(ctx, deploy.LinkFault{From: frontZone, To: w.zone, Cut: true})
 }
 
-func oneWay(ctx context.Context, w *worker, _ string) (mend, error) {
+func oneWay(ctx context.Context, w *worker, _ string) (undo, error) {
 	return w.links.add(ctx, deploy.LinkFault{From: w.zone, To: frontZone, Drop: true})
 }
 
-func silence(ctx context.Context, w *worker, _ string) (mend, error) {
+func silence(ctx context.Context, w *worker, _ string) (undo, error) {
 	return w.links.add(ctx, deploy.LinkFault{From: frontZone, To: w.zone, Silence: true})
 }
 
-// race publishes two different configurations of one revision, one after the
-// other, as two operators who don't know of each other would.
-func race(ctx context.Context, w *worker, _ string) (mend, error) {
-	raceMu.Lock()
-	defer raceMu.Unlock()
+// publishConflict publishes two different configurations with the same revision,
+// as two operators who don't coordinate would.
+func publishConflict(ctx context.Context, w *worker, _ string) (undo, error) {
+	conflictMu.Lock()
+	defer conflictMu.Unlock()
 	next := w.d.Fleet().Revision + 1
 	first, second := Fleet(next), Fleet(next)
 	first.Services[0].Hops = fleet.DefaultHops + 1
@@ -127,5 +129,5 @@
 	if err := w.d.Publish(ctx, first); err != nil {
 		return nil, err
 	}
-	return nothing, w.d.Publish(ctx, second)
+	return noUndo, w.d.Publish(ctx, second)
 }
--- a/standin/matrix/leaving.go
+++ b/standin/matrix/leaving.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// checkLeaving sends reads while a VM leaves and looks that it gets none.
+// checkLeaving sends reads while a VM is leaving and checks that it gets none.
 func (w *worker) checkLeaving(ctx context.Context, v *Verdict, vm string) error {
-	// A stopped process has been started again by now, and takes new work.
+	// A stopped process has been restarted by now and accepts new requests.
 	if !w.leaves(v.Cell) || slices.Contains(v.Cell.Faults, gracefulStop) {
 		return nil
 	}
 	if !w.noticed(ctx, vm) {
-		v.check(Leaving, true, false, "%s didn't notice for %s that it leaves", vm, noticeLimit)
+		v.check(Leaving, true, false, "%s did not report within %s that it is leaving", vm, noticeLimit)
 		return nil
 	}
 	const reads = 6
@@ -24,7 +24,7 @@
 		x.front = w.fronts[i%len(w.fronts)]
 		ids[x.id] = true
 		x.send()
-		x.wait(patience)
+		x.wait(clientTimeout)
 		x.cancel()
 	}
 	runs, err := w.d.Runs(vm)
@@ -37,17 +37,17 @@
 			got++
 		}
 	}
-	v.check(Leaving, true, got == 0, "%d new requests after it began to leave", got)
+	v.check(Leaving, true, got == 0, "%d new requests after the VM started to leave", got)
 	return nil
 }
 
-// noticeLimit is the few seconds that a VM may take to hear that it leaves.
+// noticeLimit is the time within which a node must detect that its VM is leaving.
 const noticeLimit = 5 * time.Second
 
 func (w *worker) noticed(ctx context.Context, vm string) bool {
 	_, err := eventually(ctx, noticeLimit, func() (string, bool) {
-		for _, home := range w.homes {
-			if s, err := stateOf(ctx, home); home.VM == vm && err == nil && s.Control.Leaving {
+		for _, target := range w.targets {
+			if s, err := stateOf(ctx, target); target.VM == vm && err == nil && s.Control.Leaving {
 				return vm, true
 			}
 		}
--- a/standin/matrix/matrix.go
+++ b/standin/matrix/matrix.go
@@ -1,6 +1,6 @@
-// Package matrix breaks a deployment of real processes with each fault at each
-// step of a request, and judges what callers were told by the backend servers'
-// ledgers. It never ships.
+// Package matrix injects each fault at each step of a request into a deployment
+// of real processes, and checks the outcomes reported to callers against the
+// backend servers' ledgers. It is not part of a release.
 package matrix
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// Step is a point in the life of a request.
+// Step is a point in the processing of a request.
 type Step string
 
 // The steps, in order.
@@ -38,26 +38,26 @@
 const (
 	Read   Style = "read"   // idempotent
 	Once   Style = "once"   // at most once, sent a single time
-	Ticket Style = "ticket" // at most once, sent again under a ticket
+	Ticket Style = "ticket" // at most once, resent under a ticket
 )
 
 // Styles lists all styles.
 var Styles = []Style{Read, Once, Ticket}
 
-// Promise is something that must hold in a cell.
-type Promise string
+// Guarantee is a guarantee that must hold in a cell.
+type Guarantee string
 
-// The promises that a cell can show.
+// The guarantees that a cell can verify.
 const (
-	Whole    Promise = "W" // an answer is the caller's own and whole, or visibly none
-	NotRun   Promise = "N" // what was told not run has not run and doesn't later
-	AtMost   Promise = "O" // an at-most-once request ran at most once
-	Leaving  Promise = "L" // a leaving backend server gets no new work
-	Graceful Promise = "G" // what was in flight at a leaving server was finished
-	Served   Promise = "S" // a read was served although one server was in trouble
+	Whole    Guarantee = "W" // an answer is complete and belongs to the request, or is recognizably missing
+	NotRun   Guarantee = "N" // a request reported as not run has not run and won't run later
+	AtMost   Guarantee = "O" // an at-most-once request ran at most once
+	Leaving  Guarantee = "L" // a leaving backend server gets no new requests
+	Graceful Guarantee = "G" // requests in flight at a leaving server were finished
+	Served   Guarantee = "S" // a read was served although one server was faulty
 )
 
-// Cell is one fault, or two, at one step of one style of request.
+// Cell is a combination of one or two faults, a step and a style of request.
 type Cell struct {
 	Faults []string
 	Step   Step
@@ -66,21 +66,21 @@
 
 func (c Cell) String() string { return fmt.Sprintf("%v at %q, %s", c.Faults, c.Step, c.Style) }
 
-// Verdict is what a cell came to.
+// Result is the result of a cell.
 type Verdict struct {
 	Cell    Cell
 	Outcome Outcome
 	Kind    string
-	// Shown are the promises that were put to the test and held.
-	Shown []Promise
-	// Broken names promises that were broken, and how.
+	// Verified lists the guarantees that were tested and held.
+	Verified []Guarantee
+	// Violations describes the guarantees that were violated.
 	Broken []string
-	// Skipped says why the cell doesn't apply.
+	// Skipped is the reason why the cell doesn't apply; empty if it ran.
 	Skipped string
 	ids     []string
 }
 
-// Workers is how many cells run at once, each on a service of its own.
+// Workers is the number of cells that run concurrently, each on its own service.
 const Workers = 8
 
 const (
@@ -90,8 +90,8 @@
 	slots     = 1
 )
 
-// Fleet is the deployment that a matrix runs on: two nodes that take callers,
-// and a service in a zone of its own for each worker.
+// Fleet returns the configuration of a matrix deployment: two front nodes for
+// callers, and for each worker a service in its own zone.
 func Fleet(revision uint64) fleet.Fleet {
 	f := fleet.Fleet{
 		Name: "matrix", Revision: revision,
@@ -113,7 +113,7 @@
 func service(name, zone string, targets int) fleet.Service {
 	s := fleet.Service{
 		Name: name, Team: "all", Timeout: timeout,
-		// Every request here meets a fault; a share of 10 % would soon be spent.
+		// Every request meets a fault; a retry budget of 10 % would be exhausted.
 		RetryPercent: 100,
 		Routes: []fleet.Route{
 			{Name: "read", Path: "/read/*", Idempotent: true},
@@ -137,9 +137,9 @@
 	return &Runner{d: d, links: links{d: d}}
 }
 
-// Run runs the cells and gives their verdicts in the same order.
+// Run runs the cells and returns their results in the same order.
 func (r *Runner) Run(ctx context.Context, cells []Cell) ([]Verdict, error) {
-	verdicts := make([]Verdict, len(cells))
+	results := make([]Verdict, len(cells))
 	next := make(chan int)
 	errs := make([]error, Workers)
 	var wg sync.WaitGroup
@@ -151,7 +151,7 @@
 				if errs[i] != nil {
 					continue
 				}
-				verdicts[n], errs[i] = w.run(ctx, cells[n])
+				results[n], errs[i] = w.run(ctx, cells[n])
 			}
 		})
 	}
@@ -165,17 +165,17 @@
 			return nil, err
 		}
 	}
-	return verdicts, r.judge(verdicts)
+	return results, r.checkLedgers(results)
 }
 
-// judge adds what only the ledgers can tell, once nothing runs any more.
-func (r *Runner) judge(verdicts []Verdict) error {
+// checkLedgers adds the checks that need the ledgers, after all requests have ended.
+func (r *Runner) checkLedgers(results []Verdict) error {
 	starts, err := r.d.Starts()
 	if err != nil {
 		return err
 	}
-	for i := range verdicts {
-		v := &verdicts[i]
+	for i := range results {
+		v := &results[i]
 		if v.Skipped != "" {
 			continue
 		}
@@ -183,43 +183,44 @@
 		for _, id := range v.ids {
 			ran += starts[id]
 		}
-		v.check(NotRun, v.Outcome == ToldNotRun, ran == 0, "told not run (%s), ran %d times", v.Kind, ran)
+		v.check(NotRun, v.Outcome == ReportedNotRun, ran == 0, "reported not run (%s), ran %d times", v.Kind, ran)
 		v.check(AtMost, v.Cell.Style != Read, ran <= 1, "ran %d times", ran)
 		v.check(Whole, true, v.Outcome != Wrong && (v.Outcome != Ran || ran > 0), "%s, ran %d times", v.Kind, ran)
 	}
 	return nil
 }
 
-// check notes whether a promise held, where it was put to the test.
-func (v *Verdict) check(p Promise, applies, held bool, format string, args ...any) {
+// check records whether a guarantee held, if it applies.
+func (v *Verdict) check(p Guarantee, applies, held bool, format string, args ...any) {
 	switch {
 	case !applies:
 	case held:
-		v.Shown = append(v.Shown, p)
+		v.Verified = append(v.Verified, p)
 	default:
 		v.Broken = append(v.Broken, string(p)+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// links holds the link faults of all workers, since a relay takes them as one list.
+// links holds the link faults of all workers, because a relay only accepts the
+// complete list.
 type links struct {
-	d   *deploy.Deployment
-	mu  sync.Mutex
-	now []deploy.LinkFault
+	d      *deploy.Deployment
+	mu     sync.Mutex
+	active []deploy.LinkFault
 }
 
 func (l *links) add(ctx context.Context, f deploy.LinkFault) (remove func(context.Context) error, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.now = append(l.now, f)
-	return func(ctx context.Context) error { return l.remove(ctx, f) }, l.d.SetLinks(ctx, l.now...)
+	l.active = append(l.active, f)
+	return func(ctx context.Context) error { return l.remove(ctx, f) }, l.d.SetLinks(ctx, l.active...)
 }
 
 func (l *links) remove(ctx context.Context, f deploy.LinkFault) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if at := slices.Index(l.now, f); at >= 0 {
-		l.now = slices.Delete(l.now, at, at+1)
+	if at := slices.Index(l.active, f); at >= 0 {
+		l.active = slices.Delete(l.active, at, at+1)
 	}
-	return l.d.SetLinks(ctx, l.now...)
+	return l.d.SetLinks(ctx, l.active...)
 }
--- a/standin/matrix/reach.go
+++ b/standin/matrix/reach.go
@@ -9,17 +9,17 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// reach sends the request and waits until it is at its step; it gives the VM
-// that has it.
+// reach sends the request, waits until it is at its step and returns the VM that
+// has it.
 func (w *worker) reach(ctx context.Context, x *exchange) (string, error) {
 	x.send()
 	switch x.cell.Step {
 	case Accepted:
-		return w.homes[0].VM, x.waitHalfSent()
+		return w.targets[0].VM, x.waitHalfSent()
 	case Chosen, Sent:
 		return w.heldAt(ctx)
 	case Recorded:
-		return w.queuedAt(ctx, x.queued)
+		return w.queuedAt(ctx, x.queuedBefore)
 	case Undelivered:
 		if _, err := w.started(ctx, x.id); err != nil {
 			return "", err
@@ -35,27 +35,28 @@
 
 // started waits until a backend server of the service has started a request.
 func (w *worker) started(ctx context.Context, id string) (string, error) {
-	return eventually(ctx, reachLimit, w.look(id))
+	return eventually(ctx, reachLimit, w.findStarted(id))
 }
 
-// startedSoon is the same for a request that may be waiting in a queue.
+// startedSoon is like started, with a shorter limit, for a request that may be
+// waiting in a queue.
 func (w *worker) startedSoon(ctx context.Context, id string) (string, error) {
-	return eventually(ctx, settleFor, w.look(id))
+	return eventually(ctx, faultLead, w.findStarted(id))
 }
 
-func (w *worker) look(id string) func() (string, bool) {
+func (w *worker) findStarted(id string) func() (string, bool) {
 	return func() (string, bool) {
-		for _, home := range w.homes {
-			runs, err := w.d.Runs(home.VM)
+		for _, target := range w.targets {
+			runs, err := w.d.Runs(target.VM)
 			if err == nil && slices.ContainsFunc(runs, func(r deploy.Run) bool { return r.ID == id }) {
-				return home.VM, true
+				return target.VM, true
 			}
 		}
 		return "", false
 	}
 }
 
-// heldAt waits until the link holds bytes of the request, and tells whose.
+// heldAt waits until the link holds bytes of the request, and returns the target's VM.
 func (w *worker) heldAt(ctx context.Context) (string, error) {
 	return eventually(ctx, reachLimit, func() (string, bool) {
 		held, err := w.d.Held(ctx, frontZone)
@@ -63,9 +64,9 @@
 			return "", false
 		}
 		for _, addr := range held {
-			for _, home := range w.homes {
-				if strings.HasPrefix(addr, home.IP()+":") {
-					return home.VM, true
+			for _, target := range w.targets {
+				if strings.HasPrefix(addr, target.IP()+":") {
+					return target.VM, true
 				}
 			}
 		}
@@ -73,8 +74,8 @@
 	})
 }
 
-// queuedAt waits until one more request than before waits at a guard of the
-// service, and tells which.
+// queuedAt waits until more requests than before wait at a guard of the service,
+// and returns the guard's VM.
 func (w *worker) queuedAt(ctx context.Context, before map[string]int) (string, error) {
 	return eventually(ctx, reachLimit, func() (string, bool) {
 		for vm, n := range w.queues(ctx) {
@@ -86,12 +87,12 @@
 	})
 }
 
-// queues tells how many requests wait at each guard of the service.
+// queues returns the number of requests waiting at each guard of the service.
 func (w *worker) queues(ctx context.Context) map[string]int {
 	n := map[string]int{}
-	for _, home := range w.homes {
-		if s, err := stateOf(ctx, home); err == nil {
-			n[home.VM] = s.Load.Waiting
+	for _, target := range w.targets {
+		if s, err := stateOf(ctx, target); err == nil {
+			n[target.VM] = s.Load.Waiting
 		}
 	}
 	return n
--- a/standin/matrix/recover.go
+++ b/standin/matrix/recover.go
@@ -10,30 +10,30 @@
 // healthyLimit bounds the recovery between two cells.
 const healthyLimit = 30 * time.Second
 
-// waitHealthy waits until every node of the service serves and has nothing to
-// do, and both nodes for callers can reach the service.
+// waitHealthy waits until every node of the service is joined and idle, and both
+// front nodes can reach the service.
 func (w *worker) waitHealthy(ctx context.Context) error {
 	end := time.Now().Add(healthyLimit)
 	for {
-		sick := w.sick(ctx)
-		if sick == "" {
+		problem := w.unhealthy(ctx)
+		if problem == "" {
 			return nil
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
-			return errors.New("not healthy again: " + sick)
+			return errors.New("deployment did not recover between cells: " + problem)
 		}
 		time.Sleep(poll)
 	}
 }
 
-// sick names something that isn't healthy, or nothing.
-func (w *worker) sick(ctx context.Context) string {
-	for _, home := range w.homes {
-		if s, err := stateOf(ctx, home); err != nil || !s.idle() {
-			return fmt.Sprintf("node %s: %+v %v", home.VM, s, err)
+// unhealthy describes a component that isn't healthy, or returns "".
+func (w *worker) unhealthy(ctx context.Context) string {
+	for _, target := range w.targets {
+		if s, err := stateOf(ctx, target); err != nil || !s.idle() {
+			return fmt.Sprintf("node %s: %+v %v", target.VM, s, err)
 		}
-		if !backendLives(ctx, home) {
-			return "backend server of " + home.VM
+		if !backendLives(ctx, target) {
+			return "backend server of " + target.VM
 		}
 	}
 	for _, front := range w.fronts {
@@ -41,7 +41,7 @@
 		x.hold = ""
 		x.front = front
 		x.send()
-		x.wait(patience)
+		x.wait(clientTimeout)
 		x.cancel()
 		if x.outcome != Ran {
 			return fmt.Sprintf("%s: %s %s", front.VM, x.outcome, x.detail)
--- a/standin/matrix/state.go
+++ b/standin/matrix/state.go
@@ -6,7 +6,7 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// state is what the matrix needs of a node's dump.
+// state holds the parts of a node's dump that the matrix needs.
 type state struct {
 	Control struct {
 		Joined  bool `json:"joined"`
--- a/standin/matrix/worker.go
+++ b/standin/matrix/worker.go
@@ -16,45 +16,45 @@
 
 const (
 	timeout = 6 * time.Second
-	// patience is how long a caller waits, longer than any deadline.
-	patience = 12 * time.Second
-	poll     = 5 * time.Millisecond
-	// reachLimit bounds the time until a request is at a step, and attempts how
-	// often a cell is begun whose request doesn't come to it.
+	// clientTimeout is how long a caller waits; it is longer than any deadline.
+	clientTimeout = 12 * time.Second
+	poll          = 5 * time.Millisecond
+	// reachLimit bounds the time until a request reaches its step. attempts is how
+	// often a cell is tried if the request doesn't reach it.
 	reachLimit = 4 * time.Second
 	attempts   = 4
-	// settleFor is how long a fault works before what is held goes on, and
-	// brokenFor how long it works in all.
-	settleFor = 150 * time.Millisecond
-	brokenFor = 1200 * time.Millisecond
+	// faultLead is how long a fault is active before held requests are released,
+	// faultDuration how long it is active in total.
+	faultLead     = 150 * time.Millisecond
+	faultDuration = 1200 * time.Millisecond
 )
 
 var (
-	raceMu       sync.Mutex
-	errUnreached = errors.New("the request never came to the step")
+	conflictMu   sync.Mutex
+	errUnreached = errors.New("the request did not reach the step")
 )
 
 // worker runs cells on one service.
 type worker struct {
 	*Runner
-	zone, service string
-	client        *http.Client
-	fronts, homes []deploy.Place
-	// holds take back what keeps the request of the cell at its step.
-	holds []mend
-	// held are the ids of the requests that backend servers hold.
-	held []string
+	zone, service   string
+	client          *http.Client
+	fronts, targets []deploy.Place
+	// holds are functions that remove what holds the request of the cell at its step.
+	holds []undo
+	// heldIDs are the ids of requests that backend servers may hold.
+	heldIDs []string
 }
 
 func newWorker(r *Runner, n int) *worker {
-	w := &worker{Runner: r, zone: zoneOf(n), service: serviceOf(n), client: &http.Client{Timeout: patience}}
+	w := &worker{Runner: r, zone: zoneOf(n), service: serviceOf(n), client: &http.Client{Timeout: clientTimeout}}
 	w.client.Transport = &http.Transport{}
 	for _, p := range r.d.Places {
 		switch p.Zone {
 		case frontZone:
 			w.fronts = append(w.fronts, p)
 		case w.zone:
-			w.homes = append(w.homes, p)
+			w.targets = append(w.targets, p)
 		}
 	}
 	return w
@@ -62,7 +62,7 @@
 
 func (w *worker) close() { w.client.CloseIdleConnections() }
 
-// run runs one cell and leaves the service as it was.
+// run runs one cell. It tries again if the request doesn't reach its step.
 func (w *worker) run(ctx context.Context, c Cell) (Verdict, error) {
 	if why := w.skip(c); why != "" {
 		return Verdict{Cell: c, Skipped: why}, nil
@@ -76,9 +76,10 @@
 		if v, err = w.cell(ctx, c); !errors.Is(err, errUnreached) {
 			break
 		}
-		// The cell before still shows: a node may think that a VM is leaving,
-		// and refuse or go elsewhere. Nothing has been broken yet.
-		time.Sleep(brokenFor)
+		// A fault of the previous cell still has an effect: a node may consider a
+		// VM as leaving and refuse the request or choose another target. No fault
+		// has been injected in this cell yet.
+		time.Sleep(faultDuration)
 	}
 	if err != nil {
 		return v, fmt.Errorf("%s: %w", c, err)
@@ -89,10 +90,10 @@
 func (w *worker) skip(c Cell) string {
 	for _, name := range c.Faults {
 		f := faultNamed(name)
-		if f.never != "" {
-			return f.never
+		if f.notApplicable != "" {
+			return f.notApplicable
 		}
-		if f.only != "" && f.only != c.Step {
+		if f.onlyAt != "" && f.onlyAt != c.Step {
 			return "it strikes only when it runs"
 		}
 	}
@@ -102,11 +103,12 @@
 	return ""
 }
 
-// cell brings a request to the step, breaks, lets it go on, mends, and looks.
+// cell brings a request to its step, injects the faults, resumes the request,
+// removes the faults and checks the outcome.
 func (w *worker) cell(ctx context.Context, c Cell) (Verdict, error) {
 	x := w.newExchange(ctx, c)
 	defer x.cancel()
-	if err := w.arrange(ctx, x); err != nil {
+	if err := w.prepareHold(ctx, x); err != nil {
 		return Verdict{}, err
 	}
 	vm, err := w.reach(ctx, x)
@@ -114,32 +116,32 @@
 		w.releaseAll(ctx)
 		return Verdict{}, err
 	}
-	mends, err := w.strike(ctx, c, vm)
+	undos, err := w.inject(ctx, c, vm)
 	if err != nil {
 		return Verdict{}, err
 	}
-	struck := time.Now()
-	time.Sleep(settleFor)
+	injected := time.Now()
+	time.Sleep(faultLead)
 	if err := w.releaseAll(ctx); err != nil {
 		return Verdict{}, err
 	}
-	x.wait(time.Until(struck.Add(brokenFor)))
+	x.wait(time.Until(injected.Add(faultDuration)))
 	v := Verdict{Cell: c}
 	if err := w.checkLeaving(ctx, &v, vm); err != nil {
 		return v, err
 	}
-	for _, back := range mends {
+	for _, back := range undos {
 		if err := back(context.WithoutCancel(ctx)); err != nil {
 			return v, err
 		}
 	}
-	x.wait(patience)
+	x.wait(clientTimeout)
 	v.Outcome, v.Kind, v.ids = x.outcome, x.detail, []string{x.id}
-	// Before it is recorded a request isn't in flight at the server yet, and a
-	// ticket names that server alone.
+	// Before it is recorded, a request isn't in flight at the server yet, and a
+	// ticket is bound to that server only.
 	inFlight := slices.Index(Steps, c.Step) >= slices.Index(Steps, Recorded)
 	v.check(Graceful, w.leaves(c) && inFlight, x.outcome == Ran, "%s, %s", x.outcome, x.detail)
-	v.check(Served, c.Style == Read && w.harmless(c) && c.Step != Answering, x.outcome == Ran, "%s, %s", x.outcome, x.detail)
+	v.check(Served, c.Style == Read && w.readsServed(c) && c.Step != Answering, x.outcome == Ran, "%s, %s", x.outcome, x.detail)
 	return v, nil
 }
 
@@ -147,20 +149,20 @@
 	return !slices.ContainsFunc(c.Faults, func(name string) bool { return !faultNamed(name).leaves })
 }
 
-func (w *worker) harmless(c Cell) bool {
-	return len(c.Faults) == 1 && faultNamed(c.Faults[0]).harmless
+func (w *worker) readsServed(c Cell) bool {
+	return len(c.Faults) == 1 && faultNamed(c.Faults[0]).readsServed
 }
 
-func (w *worker) strike(ctx context.Context, c Cell, vm string) ([]mend, error) {
-	var mends []mend
+func (w *worker) inject(ctx context.Context, c Cell, vm string) ([]undo, error) {
+	var undos []undo
 	for _, name := range c.Faults {
-		back, err := faultNamed(name).strike(ctx, w, vm)
+		back, err := faultNamed(name).inject(ctx, w, vm)
 		if err != nil {
 			return nil, err
 		}
-		mends = append(mends, back)
+		undos = append(undos, back)
 	}
-	return mends, nil
+	return undos, nil
 }
 
 func newID() string { return uuid.NewString() }
