--- a/standin/experiment/added.go
+++ b/standin/experiment/added.go
@@ -11,9 +11,9 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// addedLatency measures what entry and guard add to a call. Each run sends two
-// loads from one process at the same time: through the node and straight to the
-// same backend server, so that both meet the same noise.
+// addedLatency measures the latency that entry and guard add to a call. Each run
+// sends two loads concurrently from one process: through the node and directly
+// to the same backend server, so that both are subject to the same noise.
 type addedLatency struct {
 	common
 	Rates     []float64     `long:"rate" description:"calls per second of each of the two loads; may be repeated" default:"500" default:"2000"`
@@ -28,10 +28,10 @@
 	through = "through"
 )
 
-// uploadSize is the size of an upload beside the two loads, in bytes.
+// uploadSize is the size in bytes of an upload that runs along with the two loads.
 const uploadSize = 1 << 20
 
-// addedSlots are so many that the backend server is never what is measured.
+// addedSlots is large enough that requests never queue for the backend server.
 const addedSlots = 128
 
 func addedFleet() fleet.Fleet {
@@ -56,7 +56,7 @@
 			"service time %g ms, Poisson arrivals, latency in ms from sending. The target is 0.32 ms at p99.", a.For, a.ServiceMs),
 		Columns: []string{"target stands", "calls/s", "direct p50", "through p50", "added p50", "direct p99", "through p99", "added p99", "not ok", "schedule"},
 	}
-	err := a.with(ctx, "added-latency", addedFleet(), a.ServiceMs, func(d *deploy.Deployment) error {
+	err := a.withDeployment(ctx, "added-latency", addedFleet(), a.ServiceMs, func(d *deploy.Deployment) error {
 		here, there := d.Places[0], d.Places[1]
 		for _, rate := range a.Rates {
 			a.measure(ctx, t, "on the entry's VM", rate, here, here)
@@ -81,7 +81,7 @@
 	one, two := r.Kinds[0].FromSending, r.Kinds[1].FromSending
 	notOK := r.All.Calls - r.All.Outcomes[load.OK]
 	t.add(where, count(rate), ms(one.P50), ms(two.P50), ms(two.P50-one.P50),
-		ms(one.P99), ms(two.P99), ms(two.P99-one.P99), count(float64(notOK)), kept(r))
+		ms(one.P99), ms(two.P99), ms(two.P99-one.P99), count(float64(notOK)), scheduleStatus(r))
 }
 
 func (a *addedLatency) kinds(rate float64, entry, target deploy.Place) []load.Kind {
@@ -98,8 +98,8 @@
 	return kinds
 }
 
-// kept says whether the sender kept its schedule.
-func kept(r *load.Report) string {
+// scheduleStatus describes whether the sender kept its schedule.
+func scheduleStatus(r *load.Report) string {
 	if r.Kept() {
 		return "kept"
 	}
--- a/standin/experiment/budgets.go
+++ b/standin/experiment/budgets.go
@@ -9,11 +9,11 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// defaultRepeat is how often comparisons whose differences are small run each
-// scenario by default.
+// defaultRepeat is the default number of runs of each scenario in comparisons
+// with small differences.
 const defaultRepeat = 3
 
-// budgets compares measuring budgets: what each byte buys.
+// budgets compares budgets for measuring load.
 type budgets struct {
 	comparison
 	Budgets []string `long:"budget" description:"multiple of the default budget; may be repeated" default:"0" default:"0.25" default:"1" default:"4"`
@@ -28,7 +28,7 @@
 	return c.comparison.run(ctx, "budgets", variants)
 }
 
-// defaults sets what isn't given.
+// defaults sets options that weren't given on the command line.
 func (c *comparison) defaults(scenarios ...string) {
 	if len(c.Scenarios) == 0 {
 		c.Scenarios = scenarios
@@ -53,8 +53,8 @@
 	return list, nil
 }
 
-// budgetOf gives a multiple of the default budget. Nought can't be declared, but
-// no report fits into one byte.
+// budgetOf returns a multiple of the default budget. A budget of 0 can't be
+// declared; the minimum of 1 byte has the same effect, as no report fits into it.
 func budgetOf(times float64) fleet.Budget {
 	scaled := func(n int) int { return max(1, int(times*float64(n))) }
 	return fleet.Budget{
--- a/standin/experiment/capacity.go
+++ b/standin/experiment/capacity.go
@@ -10,8 +10,9 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// capacity measures what the control side costs at several sizes, fits a line
-// through each cost and reads it off at the target size.
+// capacity measures the resource usage of the control plane at several
+// deployment sizes, fits a line to each quantity and extrapolates it to
+// targetNodes.
 type capacity struct {
 	common
 	Nodes []int         `long:"nodes" description:"size of a deployment; may be repeated" default:"6" default:"18" default:"72"`
@@ -20,15 +21,15 @@
 	Rate  float64       `long:"rate" default:"50" description:"calls per second for each node in the loaded part"`
 }
 
-// The size to design for.
+// The deployment size to design for.
 const (
 	targetNodes     = 890
 	targetsPerGroup = 15 // 890 targets in 59 services
-	// firstQueue is the length of the queues before any change.
+	// firstQueue is the queue limit of the services before any change.
 	firstQueue = 16
 )
 
-// capacityFleet declares a fleet; its first service changes with each revision.
+// capacityFleet returns a fleet whose first service changes with each revision.
 func capacityFleet(nodes int, revision uint64) fleet.Fleet {
 	f := fleet.Fleet{Name: "capacity", Revision: revision, Teams: []fleet.Team{{Name: "measuring"}}}
 	for _, region := range []string{"one", "two", "three"} {
@@ -50,24 +51,24 @@
 	return f
 }
 
-// cost is what was measured at one size, for one node unless said otherwise.
-type cost struct {
+// usage is the resource usage at one size, per node unless noted otherwise.
+type usage struct {
 	nodes int
-	// idle, parted (a region cut off) and restarted (all nodes of a zone killed)
-	// are rates each second.
-	idle, parted, restarted rates
-	// rss is bytes of memory when idle, rssLoaded under load.
+	// idle, regionCut (a region cut off) and zoneRestarted (all nodes of a zone
+	// killed) are rates per second.
+	idle, regionCut, zoneRestarted rates
+	// rss is the resident memory in bytes when idle, rssLoaded under load.
 	rss, rssLoaded float64
-	// cpuPerCall is processor seconds of all nodes for each call.
+	// cpuPerCall is the processor time of all nodes per call, in seconds.
 	cpuPerCall float64
-	// changeTime is how long a change took until it was in force everywhere, in
-	// seconds; changeBytes the control bytes of a node for it, changeCalls
-	// the platform calls of all nodes.
+	// changeTime is the time in seconds until a configuration change was in force
+	// at all nodes, changeBytes the control bytes of a node for it, and
+	// changeCalls the platform calls of all nodes.
 	changeTime, changeBytes, changeCalls float64
 }
 
-// rates are bytes of control frames and the share of a core, of one node, and
-// platform calls of all nodes, each second.
+// rates holds values per second: bytes of control frames and processor seconds
+// of one node, and platform calls of all nodes.
 type rates struct{ bytes, cpu, calls float64 }
 
 func ratesOf(s sample, nodes int, took time.Duration) rates {
@@ -76,29 +77,30 @@
 }
 
 func (c *capacity) run(ctx context.Context) error {
-	var costs []cost
+	var usages []usage
 	for _, n := range c.Nodes {
 		name := fmt.Sprintf("capacity-%d", n)
-		err := c.with(ctx, name, capacityFleet(n, 1), 1, func(d *deploy.Deployment) error {
+		err := c.withDeployment(ctx, name, capacityFleet(n, 1), 1, func(d *deploy.Deployment) error {
 			one, err := c.measure(ctx, d, n)
-			costs = append(costs, one)
+			usages = append(usages, one)
 			return err
 		})
 		if err != nil {
 			return err
 		}
 	}
-	return c.publish("capacity", c.table(costs))
+	return c.publish("capacity", c.table(usages))
 }
 
-// measure measures one size. The order matters: what is restarted comes last.
-func (c *capacity) measure(ctx context.Context, d *deploy.Deployment, n int) (cost, error) {
-	one := cost{nodes: n}
-	if err := pause(ctx, calmDown); err != nil {
+// measure measures one size. The order matters: the part that restarts nodes
+// comes last.
+func (c *capacity) measure(ctx context.Context, d *deploy.Deployment, n int) (usage, error) {
+	one := usage{nodes: n}
+	if err := pause(ctx, settleTime); err != nil {
 		return one, err
 	}
-	for _, part := range []func(context.Context, *deploy.Deployment, *cost) error{
-		c.idle, c.loaded, c.change, c.parted, c.restarted,
+	for _, part := range []func(context.Context, *deploy.Deployment, *usage) error{
+		c.idle, c.loaded, c.change, c.regionCut, c.zoneRestarted,
 	} {
 		if err := part(ctx, d, &one); err != nil {
 			return one, err
@@ -107,24 +109,24 @@
 	return one, ctx.Err()
 }
 
-func (c *capacity) idle(ctx context.Context, d *deploy.Deployment, one *cost) error {
-	diff, after, err := during(ctx, d, func() error { return pause(ctx, c.Idle) })
+func (c *capacity) idle(ctx context.Context, d *deploy.Deployment, one *usage) error {
+	diff, after, err := measureDuring(ctx, d, func() error { return pause(ctx, c.Idle) })
 	one.idle = ratesOf(diff, one.nodes, c.Idle)
 	one.rss = after[metricRSS] / float64(one.nodes)
 	return err
 }
 
-func (c *capacity) loaded(ctx context.Context, d *deploy.Deployment, one *cost) error {
-	diff, after, err := during(ctx, d, func() error { return c.send(ctx, d) })
+func (c *capacity) loaded(ctx context.Context, d *deploy.Deployment, one *usage) error {
+	diff, after, err := measureDuring(ctx, d, func() error { return c.send(ctx, d) })
 	idle := one.idle.cpu * float64(one.nodes) * c.Load.Seconds()
 	one.cpuPerCall = max(0, diff[metricCPU]-idle) / diff[metricRequests]
 	one.rssLoaded = after[metricRSS] / float64(one.nodes)
 	return err
 }
 
-func (c *capacity) change(ctx context.Context, d *deploy.Deployment, one *cost) error {
+func (c *capacity) change(ctx context.Context, d *deploy.Deployment, one *usage) error {
 	start := time.Now()
-	diff, _, err := during(ctx, d, func() error {
+	diff, _, err := measureDuring(ctx, d, func() error {
 		if err := d.Publish(ctx, capacityFleet(one.nodes, 2)); err != nil {
 			return err
 		}
@@ -137,34 +139,34 @@
 }
 
 const (
-	// badHour is how long each of the bad hours is looked at.
-	badHour = 6 * time.Second
-	// calmDown is how long the traffic of joining, or of links that are back,
-	// is let pass, which isn't the idle cost.
-	calmDown = 3 * time.Second
+	// faultPhase is the duration of each measurement with a fault.
+	faultPhase = 6 * time.Second
+	// settleTime is the wait for the traffic after joining or after links recover
+	// to end, as it isn't part of the idle usage.
+	settleTime = 3 * time.Second
 )
 
-func (c *capacity) parted(ctx context.Context, d *deploy.Deployment, one *cost) error {
-	diff, _, err := during(ctx, d, func() error {
+func (c *capacity) regionCut(ctx context.Context, d *deploy.Deployment, one *usage) error {
+	diff, _, err := measureDuring(ctx, d, func() error {
 		err := d.SetLinks(ctx,
 			deploy.LinkFault{From: "one-*", To: "t*", Cut: true}, deploy.LinkFault{From: "t*", To: "one-*", Cut: true})
 		if err != nil {
 			return err
 		}
-		return pause(ctx, badHour)
+		return pause(ctx, faultPhase)
 	})
 	if err != nil {
 		return err
 	}
-	one.parted = ratesOf(diff, one.nodes, badHour)
+	one.regionCut = ratesOf(diff, one.nodes, faultPhase)
 	if err := d.SetLinks(ctx); err != nil {
 		return err
 	}
-	return pause(ctx, calmDown)
+	return pause(ctx, settleTime)
 }
 
-func (c *capacity) restarted(ctx context.Context, d *deploy.Deployment, one *cost) error {
-	diff, _, err := during(ctx, d, func() error {
+func (c *capacity) zoneRestarted(ctx context.Context, d *deploy.Deployment, one *usage) error {
+	diff, _, err := measureDuring(ctx, d, func() error {
 		for _, p := range d.Places {
 			if p.Zone != "one-a" {
 				continue
@@ -173,9 +175,9 @@
 				return err
 			}
 		}
-		return pause(ctx, badHour)
+		return pause(ctx, faultPhase)
 	})
-	one.restarted = ratesOf(diff, one.nodes, badHour)
+	one.zoneRestarted = ratesOf(diff, one.nodes, faultPhase)
 	return err
 }
 
--- a/standin/experiment/compare.go
+++ b/standin/experiment/compare.go
@@ -13,8 +13,8 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// comparison runs scenarios with several variants of the service in turn, on one
-// deployment and with the same schedules.
+// comparison runs scenarios with several variants of the service one after
+// another, on one deployment and with the same schedules.
 type comparison struct {
 	common
 	Scenarios []string      `long:"scenario" description:"only this one; may be repeated"`
@@ -23,19 +23,19 @@
 	Length    time.Duration `long:"length" description:"end each scenario after that long"`
 	Short     bool          `long:"short" description:"the same as --length 4s"`
 	Assets    string        `long:"plot-assets" description:"URL or directory with the chart script, ending in /"`
-	// hurried makes half of the calls hurried.
+	// hurried gives half of the calls a short deadline.
 	hurried  bool
 	revision uint64
 }
 
 const (
 	shortLength = 4 * time.Second
-	// settle is the pause between two runs, in which queues empty and averages
-	// forget.
-	settle = 500 * time.Millisecond
+	// runPause is the pause between two runs, in which queues drain and moving
+	// averages decay.
+	runPause = 500 * time.Millisecond
 )
 
-// run compares variants and publishes the tables under a name.
+// run compares the variants and publishes the tables under name.
 func (c *comparison) run(ctx context.Context, name string, variants []variant) error {
 	chosen, err := c.choose()
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 	c.revision = 1
 	var tables []*table
-	return c.with(ctx, name, variants[0].fleet(c.revision), meanMs, func(d *deploy.Deployment) error {
+	return c.withDeployment(ctx, name, variants[0].fleet(c.revision), meanMs, func(d *deploy.Deployment) error {
 		for _, one := range chosen {
 			t, err := c.compare(ctx, d, one, variants)
 			if err != nil {
@@ -56,7 +56,7 @@
 	})
 }
 
-// choose gives the scenarios to run, and checks the names given.
+// choose returns the scenarios to run. It fails if a given name is unknown.
 func (c *comparison) choose() ([]scenario, error) {
 	if c.Repeat < 0 || c.Length < 0 {
 		return nil, fmt.Errorf("--repeat and --length can't be negative")
@@ -77,7 +77,7 @@
 	return chosen, nil
 }
 
-// shorten ends a scenario as the options say.
+// shorten limits the length of a scenario according to the options.
 func (c *comparison) shorten(one scenario) scenario {
 	if c.Short {
 		one.length = min(one.length, shortLength)
@@ -106,8 +106,8 @@
 	}
 	t.Columns = append(t.Columns, "schedule")
 	runs := make([][]measurement, len(variants))
-	// All variants go through one schedule before the next, so that a change of
-	// the machine meets all of them.
+	// All variants run one schedule before the next schedule starts, so that a
+	// change of the machine's load affects all of them.
 	for i := range repeats {
 		for v := range variants {
 			m, err := c.measure(ctx, d, one, variants[v], c.Seed+uint64(i))
@@ -138,7 +138,7 @@
 	return f.Close()
 }
 
-// rate is the load at which utilization of all slots are busy.
+// rate returns the call rate at which the share utilization of all slots is busy.
 func rate(d *deploy.Deployment) float64 {
 	return utilization * slots * float64(len(d.Places)) / (meanMs / 1000)
 }
@@ -152,7 +152,7 @@
 	if err != nil {
 		return m, err
 	}
-	m.metrics, _, err = during(ctx, d, func() error {
+	m.metrics, _, err = measureDuring(ctx, d, func() error {
 		start := time.Now()
 		done := play(ctx, d, one)
 		m.report = send(ctx, d, one, seed)
@@ -167,7 +167,7 @@
 	return m, err
 }
 
-// prepare makes all well and puts a variant in force.
+// prepare removes all faults and puts a variant into force.
 func (c *comparison) prepare(ctx context.Context, d *deploy.Deployment, v variant) error {
 	if err := reset(ctx, d); err != nil {
 		return err
@@ -179,6 +179,6 @@
 	if err := awaitRevision(ctx, d, c.revision); err != nil {
 		return err
 	}
-	time.Sleep(settle)
+	time.Sleep(runPause)
 	return ctx.Err()
 }
--- a/standin/experiment/experiment_test.go
+++ b/standin/experiment/experiment_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFitFindsTheLine(t *testing.T) {
+func TestFitReturnsLeastSquaresLine(t *testing.T) {
 	a, b, ok := fit([]float64{6, 18, 36}, []float64{16, 40, 76})
 	require.True(t, ok)
 	require.InDelta(t, 4, a, 1e-9)
@@ -17,7 +17,7 @@
 	require.Equal(t, []string{"unmeasured", "unmeasured"}, line([]float64{6}, []float64{16}, "n", targetNodes))
 }
 
-func TestParseMetric(t *testing.T) {
+func TestParseMetricDropsLabelsAndSkipsComments(t *testing.T) {
 	for text, want := range map[string]float64{
 		"a_total 3": 3, `a_total{kind="x y",service="s"} 2.5`: 2.5, "a_total 1.5e+06": 1.5e6,
 	} {
@@ -30,14 +30,14 @@
 	require.False(t, ok)
 }
 
-func TestCountersOfARestartedNodeBeginAnew(t *testing.T) {
+func TestCounterIncreaseAllowsForRestartedNode(t *testing.T) {
 	before := []sample{{"a": 10}, {"a": 100}}
 	after := []sample{{"a": 15}, {"a": 3}}
-	require.Equal(t, sample{"a": 8}, since(before, after))
+	require.Equal(t, sample{"a": 8}, increase(before, after))
 	require.Equal(t, sample{"a": 18}, sum(after))
 }
 
-func TestTablesGoIntoTheirSectionOfAPage(t *testing.T) {
+func TestReplaceSectionReplacesOnlyNamedSection(t *testing.T) {
 	const page = "# P\n<!-- begin one -->\nold\n<!-- end one -->\nkept\n"
 	next, err := replaceSection(page, "one", "new\n")
 	require.NoError(t, err)
@@ -46,7 +46,7 @@
 	require.Error(t, err)
 }
 
-func TestFleetsAreDeclaredRight(t *testing.T) {
+func TestExperimentFleetsAreValid(t *testing.T) {
 	var all []variant
 	for _, list := range []func() ([]variant, error){
 		(&policies{}).variants, (&orders{}).variants, (&budgets{Budgets: []string{"0", "0.25", "4"}}).variants,
@@ -67,7 +67,7 @@
 	require.NoError(t, err)
 }
 
-func TestPlansOfScenariosAreRight(t *testing.T) {
+func TestScenarioLoadPlansAreValid(t *testing.T) {
 	for _, one := range scenarios {
 		one.hurried = one.chains == 0
 		p := planOf(one, 1890, 1)
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestSelectionOfScenariosIsChecked(t *testing.T) {
+func TestUnknownSelectionsAreRejected(t *testing.T) {
 	chosen, err := (&comparison{Scenarios: []string{"slow"}}).choose()
 	require.NoError(t, err)
 	require.Len(t, chosen, 1)
@@ -90,7 +90,7 @@
 	require.ErrorContains(t, err, "no multiple")
 }
 
-func TestRepeatedFiguresGiveMedianAndRange(t *testing.T) {
+func TestRepeatedFiguresShowMedianAndRange(t *testing.T) {
 	for want, list := range map[string][]float64{
 		"2.0": {2}, "2.0 (1.0-9.0)": {1, 2, 9}, "2.5 (1.0-9.0)": {1, 2, 3, 9}, "-": {math.NaN()}, "3.0": {3, 3},
 	} {
--- a/standin/experiment/figures.go
+++ b/standin/experiment/figures.go
@@ -9,7 +9,7 @@
 	"github.com/limpetdock/limpetdock/internal/load"
 )
 
-// measurement is one run of a scenario with a variant.
+// measurement holds the measurements of one run of a scenario with a variant.
 type measurement struct {
 	report  *load.Report
 	metrics sample
@@ -18,18 +18,20 @@
 	nodes   int
 }
 
-// failed are calls that backend servers or broken connections failed.
+// failed returns the number of calls that failed at the backend server, on the
+// connection or by the caller's timeout.
 func (m measurement) failed() int {
 	o := m.report.All.Outcomes
 	return o[load.BackendError] + o[load.Broken] + o[load.Cut] + o[load.CallerTimeout]
 }
 
-// refused are calls that the system answered itself.
+// refused returns the number of calls that the load balancer itself refused.
 func (m measurement) refused() int {
 	return m.report.All.Calls - m.failed() - m.report.All.Outcomes[load.OK]
 }
 
-// perNode gives a metric's rate for a node, NaN if nodes don't have it.
+// perNode returns the rate of a metric per second and node, or NaN if the nodes
+// don't export it.
 func (m measurement) perNode(name string) float64 {
 	v, ok := m.metrics[name]
 	if !ok {
@@ -38,14 +40,14 @@
 	return v / m.took.Seconds() / float64(m.nodes)
 }
 
-// column is a figure of a measurement in a table.
+// column is a column of a comparison table.
 type column struct {
 	title, format string
 	figure        func(m measurement, best float64) float64
 }
 
-// columns are those of every table of a comparison; best is the lowest p99.9 of
-// the table.
+// columns lists the columns of every comparison table; best is the lowest p99.9
+// of the table.
 var columns = []column{
 	{"p50 ms", "%.2f", func(m measurement, _ float64) float64 { return m.report.All.Latency.P50 }},
 	{"p99 ms", "%.2f", func(m measurement, _ float64) float64 { return m.report.All.Latency.P99 }},
@@ -68,7 +70,7 @@
 
 func tail(m measurement, _ float64) float64 { return m.report.All.Latency.P999 }
 
-// bestTail is the lowest median of p99.9.
+// bestTail returns the lowest median p99.9 of all variants.
 func bestTail(runs [][]measurement) float64 {
 	best := math.Inf(1)
 	for _, one := range runs {
@@ -77,16 +79,16 @@
 	return best
 }
 
-// rowOf gives a variant's row of a table.
+// rowOf returns the table row of a variant.
 func rowOf(name string, runs []measurement, best float64) []string {
 	cells := []string{name}
 	for _, col := range columns {
 		cells = append(cells, ranged(col.format, figures(runs, col.figure, best)))
 	}
-	return append(cells, allKept(runs))
+	return append(cells, allSchedules(runs))
 }
 
-// figures gives a figure of each run, sorted.
+// figures returns a figure of all runs, sorted.
 func figures(runs []measurement, of func(measurement, float64) float64, best float64) []float64 {
 	var list []float64
 	for _, m := range runs {
@@ -96,30 +98,31 @@
 	return list
 }
 
-// median of sorted figures.
+// median returns the median of sorted figures.
 func median(sorted []float64) float64 {
 	n := len(sorted)
 	return (sorted[(n-1)/2] + sorted[n/2]) / 2
 }
 
-// ranged writes the median of sorted figures and, if they differ, the least and the most.
+// ranged formats the median of sorted figures and, if they differ, the minimum
+// and maximum.
 func ranged(format string, sorted []float64) string {
-	least, most := sorted[0], sorted[len(sorted)-1]
-	if math.IsNaN(least) {
+	minimum, maximum := sorted[0], sorted[len(sorted)-1]
+	if math.IsNaN(minimum) {
 		return "-"
 	}
 	text := fmt.Sprintf(format, median(sorted))
-	if least == most {
+	if minimum == maximum {
 		return text
 	}
-	return fmt.Sprintf("%s ("+format+"-"+format+")", text, least, most)
+	return fmt.Sprintf("%s ("+format+"-"+format+")", text, minimum, maximum)
 }
 
-// allKept says whether the sender kept its schedule in every run.
-func allKept(runs []measurement) string {
+// allSchedules describes whether the sender kept its schedule in every run.
+func allSchedules(runs []measurement) string {
 	for _, m := range runs {
 		if !m.report.Kept() {
-			return kept(m.report)
+			return scheduleStatus(m.report)
 		}
 	}
 	return "kept"
--- a/standin/experiment/main.go
+++ b/standin/experiment/main.go
@@ -1,7 +1,7 @@
-// Command experiment starts deployments of real processes, sends them loads
-// and writes what it measured as Markdown, JSON and plots: the routing policies
-// side by side under faults, the latency that entry and guard add, and the cost
-// of the control side at several sizes. It never ships.
+// Command experiment starts deployments of real processes, applies load and
+// writes the measurements as Markdown, JSON and plots: a comparison of routing
+// policies under faults, the latency that entry and guard add, and the resource
+// usage of the control plane at several sizes. It is not part of a release.
 package main
 
 import (
@@ -24,8 +24,8 @@
 	NodeEnv []string `long:"node-env" description:"NAME=value for the nodes' environment, to try settings of the runtime; may be repeated"`
 	Commit  string   `long:"commit" default:"unknown" description:"what was built, for the tables"`
 	Page    string   `long:"page" description:"Markdown page whose marked section gets the tables"`
-	// where says on what and when the run was made.
-	where string
+	// environment describes when and on which machine the run was made.
+	environment string
 }
 
 func main() {
@@ -65,10 +65,11 @@
 	os.Exit(1)
 }
 
-// with starts a deployment on a network of its own, runs f, and stops it.
-func (c *common) with(ctx context.Context, name string, f fleet.Fleet, serviceMs float64, run func(*deploy.Deployment) error) error {
-	if c.where == "" {
-		c.where = c.describe()
+// withDeployment starts a deployment on a free network, calls run and stops the
+// deployment.
+func (c *common) withDeployment(ctx context.Context, name string, f fleet.Fleet, serviceMs float64, run func(*deploy.Deployment) error) error {
+	if c.environment == "" {
+		c.environment = c.describe()
 	}
 	octet, release, err := deploy.FreeNet()
 	if err != nil {
--- a/standin/experiment/orders.go
+++ b/standin/experiment/orders.go
@@ -9,8 +9,8 @@
 	"github.com/limpetdock/limpetdock/fleet"
 )
 
-// orders compares the orders of the guards' queues. Half of the calls are
-// hurried, as with equal deadlines the earliest is the first that came.
+// orders compares the orders of the guards' queues. Half of the calls have a
+// short deadline, because with equal timeouts the deadline order equals FIFO.
 type orders struct {
 	comparison
 	Orders []string `long:"order" description:"only this one; may be repeated"`
--- a/standin/experiment/play.go
+++ b/standin/experiment/play.go
@@ -9,7 +9,7 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// play carries out the steps of a scenario as their times come.
+// play executes the steps of a scenario at their times, in the background.
 func play(ctx context.Context, d *deploy.Deployment, one scenario) <-chan error {
 	done := make(chan error, 1)
 	start := time.Now()
@@ -39,7 +39,8 @@
 	return load.Run(ctx, plan, load.Options{Sender: client})
 }
 
-// planOf gives the load of a scenario; steady is the rate at the usual utilization.
+// planOf returns the load plan of a scenario; steady is the call rate at the
+// default utilization.
 func planOf(one scenario, steady float64, seed uint64) load.Plan {
 	const workers = 20_000
 	plain := load.Kind{Name: "plain", Service: service, Timeout: timeout}
--- a/standin/experiment/scenario.go
+++ b/standin/experiment/scenario.go
@@ -10,24 +10,24 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// The experiments' fleet: one service with three targets in each of the six
-// zones, so that an entry has six to choose from in its region, where one
-// service of the users' has two.
+// The experiments' fleet has one service with three targets in each of six
+// zones. An entry can choose from six targets in its region; one of the users'
+// services has only two there.
 const (
 	service       = "work"
 	targetsInZone = 3
 	slots         = 6
-	// meanMs is the mean service time. Half of it is drawn for each request.
+	// meanMs is the mean service time. The part given by spread is random.
 	meanMs = 40.0
 	spread = 0.5
-	// timeout is the deadline of each call, hurriedTimeout of a hurried one.
+	// timeout is the deadline of a call, hurriedTimeout that of a hurried call.
 	timeout        = time.Second
 	hurriedTimeout = 250 * time.Millisecond
 	// utilization is the load of a steady run, as a share of all slots.
 	utilization = 0.7
 )
 
-// variant is one way to configure the service; what is empty is the default.
+// variant is a configuration of the service; zero fields mean the default.
 type variant struct {
 	name, policy, order string
 	budget              fleet.Budget
@@ -57,35 +57,35 @@
 	return f
 }
 
-// step is something that happens in a scenario at a time of the load.
+// step is an action of a scenario, at a time since the start of the load.
 type step struct {
 	at time.Duration
 	do func(context.Context, *deploy.Deployment) error
 }
 
-// scenario is one experiment.
+// scenario is a load with a sequence of actions.
 type scenario struct {
 	name, about string
 	length      time.Duration
 	surges      []load.Surge
 	steps       []step
-	// chains is how many calls a second lead to ten more of the same service,
-	// one after another; the other load is then lower, see chainsUtilization.
+	// chains is the rate per second of calls that each cause a chain of ten more
+	// nested calls. The rate of other calls is then lower, see chainsUtilization.
 	chains float64
-	// hurried says that half of the calls have a short deadline.
+	// hurried is true if half of the calls have a short deadline.
 	hurried bool
 }
 
-// Chains of calls hold a slot at each level while the levels below run: eleven
-// levels of meanMs hold 66 times meanMs of slots together.
+// A chain of calls holds a slot at each level while the levels below run: eleven
+// levels of meanMs together use 66 times meanMs of slot time.
 const (
 	chainsUtilization = 0.3
 	chainTimeout      = 5 * time.Second
 )
 
-// set changes the behaviour of every stride-th backend server from the first
-// on, or of the first one only if stride is 0.
-func set(stride int, behaviour map[string]any) func(context.Context, *deploy.Deployment) error {
+// setBackends changes the behaviour of every stride-th backend server, starting
+// with the first, or of the first one only if stride is 0.
+func setBackends(stride int, behaviour map[string]any) func(context.Context, *deploy.Deployment) error {
 	return func(ctx context.Context, d *deploy.Deployment) error {
 		for i, p := range d.Places {
 			if i > 0 && (stride == 0 || i%stride != 0) {
@@ -99,12 +99,13 @@
 	}
 }
 
-// reset makes every backend server and link well.
+// reset restores the default behaviour of all backend servers and removes all
+// link faults.
 func reset(ctx context.Context, d *deploy.Deployment) error {
 	if err := d.SetLinks(ctx); err != nil {
 		return err
 	}
-	return set(1, map[string]any{
+	return setBackends(1, map[string]any{
 		"service_ms": meanMs, "spread": spread, "jitter_ms": 0, "shift_every_ms": 0,
 		"state": "live", "fail_fast": false, "lie": -1, "cold_ms": 0,
 	})(ctx, d)
@@ -118,7 +119,8 @@
 	)
 }
 
-// drainTwo drains two of the six targets of sc: the four left don't carry its load.
+// drainTwo drains two of the six targets of sc; the remaining four can't handle
+// the region's load.
 func drainTwo(ctx context.Context, d *deploy.Deployment) error {
 	for _, vm := range []string{"work-sc-a-1", "work-sc-b-1"} {
 		if err := d.SetBackend(ctx, vm, map[string]any{"state": "draining"}); err != nil {
@@ -133,26 +135,26 @@
 var scenarios = []scenario{
 	{name: "steady", about: "all servers well", length: 5 * sec},
 	{name: "slow", about: "one server takes 10 times as long from second 2 to 5", length: 7 * sec, steps: []step{
-		{2 * sec, set(0, map[string]any{"service_ms": 10 * meanMs})},
-		{5 * sec, set(0, map[string]any{"service_ms": meanMs})},
+		{2 * sec, setBackends(0, map[string]any{"service_ms": 10 * meanMs})},
+		{5 * sec, setBackends(0, map[string]any{"service_ms": meanMs})},
 	}},
 	{name: "fail-fast", about: "one server answers 500 at once from second 2 to 5", length: 7 * sec, steps: []step{
-		{2 * sec, set(0, map[string]any{"fail_fast": true})},
-		{5 * sec, set(0, map[string]any{"fail_fast": false})},
+		{2 * sec, setBackends(0, map[string]any{"fail_fast": true})},
+		{5 * sec, setBackends(0, map[string]any{"fail_fast": false})},
 	}},
 	{
 		name: "chains", about: "30 % of all slots busy with plain calls, and 8 chains of eleven calls a second, which hold 20 % more",
 		length: 6 * sec, chains: 8,
 	},
 	{name: "neighbours", about: "service time shifts by 0 to 60 ms every 8 ms, at each server by itself, the mean as before", length: 5 * sec, steps: []step{
-		{0, set(1, map[string]any{"service_ms": 10, "jitter_ms": 60, "shift_every_ms": 8})},
+		{0, setBackends(1, map[string]any{"service_ms": 10, "jitter_ms": 60, "shift_every_ms": 8})},
 	}},
 	{name: "lying", about: "a third of the load endpoints say idle always, and one of these servers is 5 times slower from second 2", length: 5 * sec, steps: []step{
-		{0, set(3, map[string]any{"lie": 0})},
-		{2 * sec, set(0, map[string]any{"service_ms": 5 * meanMs})},
+		{0, setBackends(3, map[string]any{"lie": 0})},
+		{2 * sec, setBackends(0, map[string]any{"service_ms": 5 * meanMs})},
 	}},
 	{name: "cold", about: "a third of the servers starts cold at second 2: 10 times slower for 3 s", length: 7 * sec, steps: []step{
-		{2 * sec, set(3, map[string]any{"cold_ms": 3000})},
+		{2 * sec, setBackends(3, map[string]any{"cold_ms": 3000})},
 	}},
 	{
 		name: "overload", about: "1.3 times what all slots can do from second 2 to 12", length: 14 * sec,
--- a/standin/experiment/scrape.go
+++ b/standin/experiment/scrape.go
@@ -12,7 +12,7 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// Metrics of nodes that are compared.
+// Names of the node metrics that are evaluated.
 const (
 	metricRequests        = "limpetdock_requests_total"
 	metricHops            = "limpetdock_hops_total"
@@ -28,7 +28,8 @@
 	metricRSS             = "process_resident_memory_bytes"
 )
 
-// sample is metrics of a node or the sum over nodes, by name, labels summed up.
+// sample maps metric names to values of one node or the sum over nodes. Values
+// are summed over all labels.
 type sample map[string]float64
 
 // scrape reads a node's metrics.
@@ -53,7 +54,7 @@
 	return s, lines.Err()
 }
 
-// parseMetric reads a line of the Prometheus text format and drops its labels.
+// parseMetric parses a line of the Prometheus text format and drops its labels.
 func parseMetric(line string) (name string, value float64, ok bool) {
 	if strings.HasPrefix(line, "#") {
 		return "", 0, false
@@ -67,8 +68,8 @@
 	return strings.TrimSpace(name), value, err == nil
 }
 
-// scrapeAll reads the metrics of every node. One that is being started again
-// is waited for.
+// scrapeAll reads the metrics of all nodes. It retries for nodes that are being
+// restarted.
 func scrapeAll(ctx context.Context, d *deploy.Deployment) ([]sample, error) {
 	const tries, pause = 100, 50 * time.Millisecond
 	all := make([]sample, len(d.Places))
@@ -87,7 +88,7 @@
 	return all, nil
 }
 
-// sum adds the metrics of nodes up.
+// sum returns the sum of the nodes' metrics.
 func sum(all []sample) sample {
 	total := sample{}
 	for _, s := range all {
@@ -98,9 +99,9 @@
 	return total
 }
 
-// since gives what the counters of all nodes together went up by. Those of a
-// node that was started again began anew.
-func since(before, after []sample) sample {
+// increase returns the increase of the counters summed over all nodes. A counter
+// that is lower than before was reset by a restart and counts from 0.
+func increase(before, after []sample) sample {
 	total := sample{}
 	for i, s := range after {
 		for name, v := range s {
@@ -113,8 +114,9 @@
 	return total
 }
 
-// during gives what the counters went up by while f ran, and all values after.
-func during(ctx context.Context, d *deploy.Deployment, f func() error) (diff, after sample, err error) {
+// measureDuring returns the increase of the counters while f ran, and the values
+// after it.
+func measureDuring(ctx context.Context, d *deploy.Deployment, f func() error) (diff, after sample, err error) {
 	before, err := scrapeAll(ctx, d)
 	if err != nil {
 		return nil, nil, err
@@ -126,7 +128,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return since(before, now), sum(now), nil
+	return increase(before, now), sum(now), nil
 }
 
 // awaitRevision waits until a revision is in force at every node.
@@ -148,7 +150,7 @@
 	return nil
 }
 
-// crossRegion sums the bytes that crossed regions so far.
+// crossRegion returns the number of bytes sent between regions so far.
 func crossRegion(ctx context.Context, d *deploy.Deployment) (float64, error) {
 	region := map[string]string{}
 	for _, z := range d.Fleet().Zones {
--- a/standin/experiment/table.go
+++ b/standin/experiment/table.go
@@ -14,7 +14,7 @@
 // table is a table of measurements.
 type table struct {
 	Title string `json:"title"`
-	// Note says how it was measured.
+	// Note describes how the values were measured.
 	Note    string     `json:"note"`
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
@@ -22,7 +22,7 @@
 
 func (t *table) add(cells ...string) { t.Rows = append(t.Rows, cells) }
 
-// writeMarkdown writes the table so that a page can take it as it is.
+// writeMarkdown writes the table as Markdown.
 func (t *table) writeMarkdown(w io.Writer) {
 	fmt.Fprintf(w, "### %s\n\n%s\n\n", t.Title, t.Note)
 	fmt.Fprintf(w, "| %s |\n|%s\n", strings.Join(t.Columns, " | "), strings.Repeat("---|", len(t.Columns)))
@@ -32,11 +32,11 @@
 	fmt.Fprintln(w)
 }
 
-// publish prints tables and writes them to <out>/<name>.md and .json, and into
-// the page's section of that name if there is a page.
+// publish prints the tables and writes them to <out>/<name>.md and .json. If a
+// page is given, it also replaces the page's section of that name.
 func (c common) publish(name string, tables ...*table) error {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s\n\n", c.where)
+	fmt.Fprintf(&text, "%s\n\n", c.environment)
 	for _, t := range tables {
 		t.writeMarkdown(&text)
 	}
@@ -65,7 +65,7 @@
 	return os.WriteFile(c.Page, []byte(next), 0o644)
 }
 
-// replaceSection puts text between the marks of a section of a page.
+// replaceSection replaces the text between the markers of a section of a page.
 func replaceSection(page, name, text string) (string, error) {
 	begin, end := "<!-- begin "+name+" -->\n", "<!-- end "+name+" -->"
 	before, rest, ok := strings.Cut(page, begin)
@@ -76,8 +76,8 @@
 	return before + begin + text + end + after, nil
 }
 
-// describe says on what and when a run was made, as far as it matters for
-// whether its figures can be trusted.
+// describe returns the time, commit and machine load of a run, which are needed
+// to judge whether its figures can be trusted.
 func (c *common) describe() string {
 	load := "unknown"
 	if text, err := os.ReadFile("/proc/loadavg"); err == nil {
@@ -87,7 +87,8 @@
 		time.Now().UTC().Format("2006-01-02 15:04 MST"), c.Commit, runtime.NumCPU(), load)
 }
 
-// ms and count write figures for tables.
+// ms formats milliseconds for tables.
 func ms(v float64) string { return fmt.Sprintf("%.2f", v) }
 
+// count formats a count for tables.
 func count(v float64) string { return fmt.Sprintf("%.0f", v) }
