--- a/standin/chaos/chaos.go
+++ b/standin/chaos/chaos.go
@@ -161,37 +161,37 @@
 		return nil, err
 	}
 	r := &Report{Seed: opts.Seed, Sent: len(results), ByStyle: map[Style]Count{}, Faults: inj.counts, Kinds: map[string]int{}}
-	for _, one := range results {
-		r.Resends += one.sends - 1
-		if one.duplicated {
+	for _, res := range results {
+		r.Resends += res.sends - 1
+		if res.duplicated {
 			r.Duplicated++
 		}
-		r.count(one, inj.faultFree(one.start, one.end))
-		ran := starts[one.id]
+		r.count(res, inj.faultFree(res.start, res.end))
+		ran := starts[res.id]
 		switch {
 		case ran > 1:
-			r.addViolation(one, "ran %d times", ran)
-		case one.outcome == Ran && ran == 0:
-			r.addViolation(one, "was answered but isn't in a ledger")
-		case one.reportedNotRun && ran > 0:
-			r.addViolation(one, "was answered not-run (%s) but ran", one.detail)
-		case one.outcome == Wrong:
-			r.addViolation(one, "got a wrong answer: %s", one.detail)
+			r.addViolation(res, "ran %d times", ran)
+		case res.outcome == Ran && ran == 0:
+			r.addViolation(res, "was answered but isn't in a ledger")
+		case res.reportedNotRun && ran > 0:
+			r.addViolation(res, "was answered not-run (%s) but ran", res.detail)
+		case res.outcome == Wrong:
+			r.addViolation(res, "got a wrong answer: %s", res.detail)
 		}
 	}
 	return r, nil
 }
 
-func (r *Report) addViolation(one result, format string, args ...any) {
-	r.Violations = append(r.Violations, fmt.Sprintf("%s (%s) ", one.id, one.style)+fmt.Sprintf(format, args...))
+func (r *Report) addViolation(res result, format string, args ...any) {
+	r.Violations = append(r.Violations, fmt.Sprintf("%s (%s) ", res.id, res.style)+fmt.Sprintf(format, args...))
 }
 
-func (r *Report) count(one result, faultFree bool) {
-	c := r.ByStyle[one.style]
+func (r *Report) count(res result, faultFree bool) {
+	c := r.ByStyle[res.style]
 	if faultFree {
 		c.FaultFree++
 	}
-	switch one.outcome {
+	switch res.outcome {
 	case Ran:
 		c.Run++
 	case NotRun:
@@ -202,8 +202,8 @@
 			c.UnknownFaultFree++
 		}
 	}
-	if one.outcome != Ran {
-		r.Kinds[string(one.outcome)+"/"+one.detail]++
+	if res.outcome != Ran {
+		r.Kinds[string(res.outcome)+"/"+res.detail]++
 	}
-	r.ByStyle[one.style] = c
+	r.ByStyle[res.style] = c
 }
--- a/standin/deploy/plan.go
+++ b/standin/deploy/plan.go
@@ -71,18 +71,18 @@
 		zones[z.Name] = i + 1
 		regions[z.Name] = z.Region
 	}
-	var places []Place
+	var vms []Place
 	inZone := map[string]int{}
 	for _, s := range f.Services {
 		for _, t := range s.Targets {
 			inZone[t.Zone]++
-			places = append(places, Place{
+			vms = append(vms, Place{
 				VM: t.VM, Service: s.Name, Region: regions[t.Zone], Zone: t.Zone, Slots: t.Slots,
 				net: n, zoneNo: zones[t.Zone], index: inZone[t.Zone],
 			})
 		}
 	}
-	return places, zones
+	return vms, zones
 }
 
 // RelayRoute is an entry of a relay's routes file.
@@ -95,13 +95,13 @@
 }
 
 // routes returns the routes of one zone's relay.
-func routes(f fleet.Fleet, places []Place, zones map[string]int, from string) []RelayRoute {
+func routes(f fleet.Fleet, vms []Place, zones map[string]int, from string) []RelayRoute {
 	region := map[string]string{}
 	for _, z := range f.Zones {
 		region[z.Name] = z.Region
 	}
 	var list []RelayRoute
-	for _, p := range places {
+	for _, p := range vms {
 		if p.Zone == from {
 			continue
 		}
--- a/standin/experiment/added.go
+++ b/standin/experiment/added.go
@@ -78,10 +78,10 @@
 	load.Run(ctx, plan, load.Options{Sender: client})
 	plan.Duration = a.For
 	r := load.Run(ctx, plan, load.Options{Sender: client})
-	one, two := r.Kinds[0].FromSending, r.Kinds[1].FromSending
+	directStats, throughStats := r.Kinds[0].FromSending, r.Kinds[1].FromSending
 	notOK := r.All.Calls - r.All.Outcomes[load.OK]
-	t.add(where, count(rate), ms(one.P50), ms(two.P50), ms(two.P50-one.P50),
-		ms(one.P99), ms(two.P99), ms(two.P99-one.P99), count(float64(notOK)), scheduleStatus(r))
+	t.add(where, count(rate), ms(directStats.P50), ms(throughStats.P50), ms(throughStats.P50-directStats.P50),
+		ms(directStats.P99), ms(throughStats.P99), ms(throughStats.P99-directStats.P99), count(float64(notOK)), scheduleStatus(r))
 }
 
 func (a *addedLatency) kinds(rate float64, entry, target deploy.Place) []load.Kind {
--- a/standin/experiment/capacity.go
+++ b/standin/experiment/capacity.go
@@ -81,8 +81,8 @@
 	for _, n := range c.Nodes {
 		name := fmt.Sprintf("capacity-%d", n)
 		err := c.withDeployment(ctx, name, capacityFleet(n, 1), 1, func(d *deploy.Deployment) error {
-			one, err := c.measure(ctx, d, n)
-			usages = append(usages, one)
+			u, err := c.measure(ctx, d, n)
+			usages = append(usages, u)
 			return err
 		})
 		if err != nil {
@@ -95,46 +95,46 @@
 // measure measures one size. The order matters: the part that restarts nodes
 // comes last.
 func (c *capacity) measure(ctx context.Context, d *deploy.Deployment, n int) (usage, error) {
-	one := usage{nodes: n}
+	u := usage{nodes: n}
 	if err := pause(ctx, settleTime); err != nil {
-		return one, err
+		return u, err
 	}
 	for _, part := range []func(context.Context, *deploy.Deployment, *usage) error{
 		c.idle, c.loaded, c.change, c.regionCut, c.zoneRestarted,
 	} {
-		if err := part(ctx, d, &one); err != nil {
-			return one, err
+		if err := part(ctx, d, &u); err != nil {
+			return u, err
 		}
 	}
-	return one, ctx.Err()
+	return u, ctx.Err()
 }
 
-func (c *capacity) idle(ctx context.Context, d *deploy.Deployment, one *usage) error {
+func (c *capacity) idle(ctx context.Context, d *deploy.Deployment, u *usage) error {
 	diff, after, err := measureDuring(ctx, d, func() error { return pause(ctx, c.Idle) })
-	one.idle = ratesOf(diff, one.nodes, c.Idle)
-	one.rss = after[metricRSS] / float64(one.nodes)
+	u.idle = ratesOf(diff, u.nodes, c.Idle)
+	u.rss = after[metricRSS] / float64(u.nodes)
 	return err
 }
 
-func (c *capacity) loaded(ctx context.Context, d *deploy.Deployment, one *usage) error {
+func (c *capacity) loaded(ctx context.Context, d *deploy.Deployment, u *usage) error {
 	diff, after, err := measureDuring(ctx, d, func() error { return c.send(ctx, d) })
-	idle := one.idle.cpu * float64(one.nodes) * c.Load.Seconds()
-	one.cpuPerCall = max(0, diff[metricCPU]-idle) / diff[metricRequests]
-	one.rssLoaded = after[metricRSS] / float64(one.nodes)
+	idle := u.idle.cpu * float64(u.nodes) * c.Load.Seconds()
+	u.cpuPerCall = max(0, diff[metricCPU]-idle) / diff[metricRequests]
+	u.rssLoaded = after[metricRSS] / float64(u.nodes)
 	return err
 }
 
-func (c *capacity) change(ctx context.Context, d *deploy.Deployment, one *usage) error {
+func (c *capacity) change(ctx context.Context, d *deploy.Deployment, u *usage) error {
 	start := time.Now()
 	diff, _, err := measureDuring(ctx, d, func() error {
-		if err := d.Publish(ctx, capacityFleet(one.nodes, 2)); err != nil {
+		if err := d.Publish(ctx, capacityFleet(u.nodes, 2)); err != nil {
 			return err
 		}
 		return awaitRevision(ctx, d, 2)
 	})
-	one.changeTime = time.Since(start).Seconds()
-	one.changeBytes = max(0, diff[metricControlSent]/float64(one.nodes)-one.idle.bytes*one.changeTime)
-	one.changeCalls = diff[metricPlatformCalls]
+	u.changeTime = time.Since(start).Seconds()
+	u.changeBytes = max(0, diff[metricControlSent]/float64(u.nodes)-u.idle.bytes*u.changeTime)
+	u.changeCalls = diff[metricPlatformCalls]
 	return err
 }
 
@@ -146,7 +146,7 @@
 	settleTime = 3 * time.Second
 )
 
-func (c *capacity) regionCut(ctx context.Context, d *deploy.Deployment, one *usage) error {
+func (c *capacity) regionCut(ctx context.Context, d *deploy.Deployment, u *usage) error {
 	diff, _, err := measureDuring(ctx, d, func() error {
 		err := d.SetLinks(ctx,
 			deploy.LinkFault{From: "one-*", To: "t*", Cut: true}, deploy.LinkFault{From: "t*", To: "one-*", Cut: true})
@@ -158,14 +158,14 @@
 	if err != nil {
 		return err
 	}
-	one.regionCut = ratesOf(diff, one.nodes, faultPhase)
+	u.regionCut = ratesOf(diff, u.nodes, faultPhase)
 	if err := d.SetLinks(ctx); err != nil {
 		return err
 	}
 	return pause(ctx, settleTime)
 }
 
-func (c *capacity) zoneRestarted(ctx context.Context, d *deploy.Deployment, one *usage) error {
+func (c *capacity) zoneRestarted(ctx context.Context, d *deploy.Deployment, u *usage) error {
 	diff, _, err := measureDuring(ctx, d, func() error {
 		for _, p := range d.Places {
 			if p.Zone != "one-a" {
@@ -177,7 +177,7 @@
 		}
 		return pause(ctx, faultPhase)
 	})
-	one.zoneRestarted = ratesOf(diff, one.nodes, faultPhase)
+	u.zoneRestarted = ratesOf(diff, u.nodes, faultPhase)
 	return err
 }
 
--- a/standin/experiment/compare.go
+++ b/standin/experiment/compare.go
@@ -23,9 +23,9 @@
 	Length    time.Duration `long:"length" description:"end each scenario after that long"`
 	Short     bool          `long:"short" description:"the same as --length 4s"`
 	Assets    string        `long:"plot-assets" description:"URL or directory with the chart script, ending in /"`
-	// hurried gives half of the calls a short deadline.
-	hurried  bool
-	revision uint64
+	// shortDeadlines gives half of the calls a short deadline.
+	shortDeadlines bool
+	revision       uint64
 }
 
 const (
@@ -44,13 +44,13 @@
 	c.revision = 1
 	var tables []*table
 	return c.withDeployment(ctx, name, variants[0].fleet(c.revision), meanMs, func(d *deploy.Deployment) error {
-		for _, one := range chosen {
-			t, err := c.compare(ctx, d, one, variants)
+		for _, sc := range chosen {
+			t, err := c.compare(ctx, d, sc, variants)
 			if err != nil {
 				return err
 			}
 			tables = append(tables, t)
-			fmt.Fprintf(os.Stderr, "%s done, %d of %d\n", one.name, len(tables), len(chosen))
+			fmt.Fprintf(os.Stderr, "%s done, %d of %d\n", sc.name, len(tables), len(chosen))
 		}
 		return c.publish(name, tables...)
 	})
@@ -63,10 +63,10 @@
 	}
 	var names []string
 	var chosen []scenario
-	for _, one := range scenarios {
-		names = append(names, one.name)
-		if len(c.Scenarios) == 0 || slices.Contains(c.Scenarios, one.name) {
-			chosen = append(chosen, one)
+	for _, sc := range scenarios {
+		names = append(names, sc.name)
+		if len(c.Scenarios) == 0 || slices.Contains(c.Scenarios, sc.name) {
+			chosen = append(chosen, sc)
 		}
 	}
 	for _, name := range c.Scenarios {
@@ -78,24 +78,24 @@
 }
 
 // shorten limits the length of a scenario according to the options.
-func (c *comparison) shorten(one scenario) scenario {
+func (c *comparison) shorten(sc scenario) scenario {
 	if c.Short {
-		one.length = min(one.length, shortLength)
+		sc.length = min(sc.length, shortLength)
 	}
 	if c.Length > 0 {
-		one.length = min(one.length, c.Length)
+		sc.length = min(sc.length, c.Length)
 	}
-	return one
+	return sc
 }
 
 // compare runs one scenario with every variant.
-func (c *comparison) compare(ctx context.Context, d *deploy.Deployment, one scenario, variants []variant) (*table, error) {
-	one = c.shorten(one)
-	one.hurried = c.hurried
+func (c *comparison) compare(ctx context.Context, d *deploy.Deployment, sc scenario, variants []variant) (*table, error) {
+	sc = c.shorten(sc)
+	sc.shortDeadlines = c.shortDeadlines
 	repeats := max(c.Repeat, 1)
 	t := &table{
-		Title:   one.name,
-		Note:    fmt.Sprintf("%s; %v, seed %d, %.0f calls/s to begin with", one.about, one.length, c.Seed, rate(d)),
+		Title:   sc.name,
+		Note:    fmt.Sprintf("%s; %v, seed %d, %.0f calls/s to begin with", sc.about, sc.length, c.Seed, rate(d)),
 		Columns: []string{"variant"},
 	}
 	if repeats > 1 {
@@ -110,7 +110,7 @@
 	// change of the machine's load affects all of them.
 	for i := range repeats {
 		for v := range variants {
-			m, err := c.measure(ctx, d, one, variants[v], c.Seed+uint64(i))
+			m, err := c.measure(ctx, d, sc, variants[v], c.Seed+uint64(i))
 			if err != nil {
 				return nil, err
 			}
@@ -123,15 +123,15 @@
 		t.add(rowOf(v.name, runs[i], best)...)
 		plots = append(plots, load.Series{Name: v.name, Report: runs[i][0].report})
 	}
-	return t, c.plot(one, plots)
+	return t, c.plot(sc, plots)
 }
 
-func (c *comparison) plot(one scenario, runs []load.Series) error {
-	f, err := os.Create(filepath.Join(c.Out, one.name+".html"))
+func (c *comparison) plot(sc scenario, runs []load.Series) error {
+	f, err := os.Create(filepath.Join(c.Out, sc.name+".html"))
 	if err != nil {
 		return err
 	}
-	if err := load.WritePlot(f, one.name+": "+one.about, c.Assets, runs...); err != nil {
+	if err := load.WritePlot(f, sc.name+": "+sc.about, c.Assets, runs...); err != nil {
 		_ = f.Close()
 		return err
 	}
@@ -143,7 +143,7 @@
 	return utilization * slots * float64(len(d.Places)) / (meanMs / 1000)
 }
 
-func (c *comparison) measure(ctx context.Context, d *deploy.Deployment, one scenario, v variant, seed uint64) (measurement, error) {
+func (c *comparison) measure(ctx context.Context, d *deploy.Deployment, sc scenario, v variant, seed uint64) (measurement, error) {
 	m := measurement{nodes: len(d.Places)}
 	if err := c.prepare(ctx, d, v); err != nil {
 		return m, err
@@ -154,8 +154,8 @@
 	}
 	m.metrics, _, err = measureDuring(ctx, d, func() error {
 		start := time.Now()
-		done := play(ctx, d, one)
-		m.report = send(ctx, d, one, seed)
+		done := play(ctx, d, sc)
+		m.report = send(ctx, d, sc, seed)
 		m.took = time.Since(start)
 		return <-done
 	})
--- a/standin/experiment/experiment_test.go
+++ b/standin/experiment/experiment_test.go
@@ -69,7 +69,7 @@
 
 func TestScenarioLoadPlansAreValid(t *testing.T) {
 	for _, one := range scenarios {
-		one.hurried = one.chains == 0
+		one.shortDeadlines = one.chains == 0
 		p := planOf(one, 1890, 1)
 		p.To = []string{"127.0.0.1:1"}
 		require.NoError(t, p.Check(), one.name)
--- a/standin/experiment/figures.go
+++ b/standin/experiment/figures.go
@@ -73,8 +73,8 @@
 // bestTail returns the lowest median p99.9 of all variants.
 func bestTail(runs [][]measurement) float64 {
 	best := math.Inf(1)
-	for _, one := range runs {
-		best = min(best, median(figures(one, tail, 0)))
+	for _, variantRuns := range runs {
+		best = min(best, median(figures(variantRuns, tail, 0)))
 	}
 	return best
 }
--- a/standin/experiment/orders.go
+++ b/standin/experiment/orders.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	c.defaults("slow", "overload")
-	c.hurried = true
+	c.shortDeadlines = true
 	return c.comparison.run(ctx, "orders", variants)
 }
 
--- a/standin/experiment/play.go
+++ b/standin/experiment/play.go
@@ -10,12 +10,12 @@
 )
 
 // play executes the steps of a scenario at their times, in the background.
-func play(ctx context.Context, d *deploy.Deployment, one scenario) <-chan error {
+func play(ctx context.Context, d *deploy.Deployment, sc scenario) <-chan error {
 	done := make(chan error, 1)
 	start := time.Now()
 	go func() {
-		for _, next := range one.steps {
-			if next.at >= one.length {
+		for _, next := range sc.steps {
+			if next.at >= sc.length {
 				break
 			}
 			time.Sleep(time.Until(start.Add(next.at)))
@@ -29,8 +29,8 @@
 	return done
 }
 
-func send(ctx context.Context, d *deploy.Deployment, one scenario, seed uint64) *load.Report {
-	plan := planOf(one, rate(d), seed)
+func send(ctx context.Context, d *deploy.Deployment, sc scenario, seed uint64) *load.Report {
+	plan := planOf(sc, rate(d), seed)
 	for _, p := range d.Places {
 		plan.To = append(plan.To, p.Callers())
 	}
@@ -41,21 +41,21 @@
 
 // planOf returns the load plan of a scenario; steady is the call rate at the
 // default utilization.
-func planOf(one scenario, steady float64, seed uint64) load.Plan {
+func planOf(sc scenario, steady float64, seed uint64) load.Plan {
 	const workers = 20_000
 	plain := load.Kind{Name: "plain", Service: service, Timeout: timeout}
 	plan := load.Plan{
-		Rate: steady, Duration: one.length, Seed: seed, Surges: one.surges, Workers: workers, Kinds: []load.Kind{plain},
+		Rate: steady, Duration: sc.length, Seed: seed, Surges: sc.surges, Workers: workers, Kinds: []load.Kind{plain},
 	}
-	if one.hurried {
-		plan.Kinds = append(plan.Kinds, load.Kind{Name: "hurried", Service: service, Timeout: hurriedTimeout})
+	if sc.shortDeadlines {
+		plan.Kinds = append(plan.Kinds, load.Kind{Name: "hurried", Service: service, Timeout: shortTimeout})
 	}
-	if one.chains > 0 {
+	if sc.chains > 0 {
 		others := steady * chainsUtilization / utilization
-		plan.Rate = others + one.chains
+		plan.Rate = others + sc.chains
 		plan.Kinds[0].Weight = int(others)
 		plan.Kinds = append(plan.Kinds, load.Kind{
-			Name: "chain", Service: service, Timeout: chainTimeout, Weight: int(one.chains),
+			Name: "chain", Service: service, Timeout: chainTimeout, Weight: int(sc.chains),
 			Chain: slices.Repeat([]string{service}, load.MaxChain),
 		})
 	}
--- a/standin/experiment/scenario.go
+++ b/standin/experiment/scenario.go
@@ -20,9 +20,10 @@
 	// meanMs is the mean service time. The part given by spread is random.
 	meanMs = 40.0
 	spread = 0.5
-	// timeout is the deadline of a call, hurriedTimeout that of a hurried call.
-	timeout        = time.Second
-	hurriedTimeout = 250 * time.Millisecond
+	// timeout is the deadline of a call, shortTimeout that of a call with a
+	// short deadline.
+	timeout      = time.Second
+	shortTimeout = 250 * time.Millisecond
 	// utilization is the load of a steady run, as a share of all slots.
 	utilization = 0.7
 )
@@ -72,8 +73,8 @@
 	// chains is the rate per second of calls that each cause a chain of ten more
 	// nested calls. The rate of other calls is then lower, see chainsUtilization.
 	chains float64
-	// hurried is true if half of the calls have a short deadline.
-	hurried bool
+	// shortDeadlines is true if half of the calls have a short deadline.
+	shortDeadlines bool
 }
 
 // A chain of calls holds a slot at each level while the levels below run: eleven
--- a/standin/experiment/slopes.go
+++ b/standin/experiment/slopes.go
@@ -42,8 +42,8 @@
 			c.Idle, c.Rate, c.Load, faultPhase, faultPhase),
 		Columns: []string{"cost", "unit"},
 	}
-	for _, one := range usages {
-		t.Columns = append(t.Columns, fmt.Sprintf("%d nodes", one.nodes))
+	for _, u := range usages {
+		t.Columns = append(t.Columns, fmt.Sprintf("%d nodes", u.nodes))
 	}
 	at := fmt.Sprintf("at %d", targetNodes)
 	t.Columns = append(t.Columns, "line over n", at, "line over log2 n", at, "limit")
@@ -56,10 +56,10 @@
 func (r row) cells(usages []usage) []string {
 	cells := []string{r.name, r.unit}
 	var sizes, logs, values []float64
-	for _, one := range usages {
-		v := r.of(one) * r.scale
-		sizes = append(sizes, float64(one.nodes))
-		logs = append(logs, math.Log2(float64(one.nodes)))
+	for _, u := range usages {
+		v := r.of(u) * r.scale
+		sizes = append(sizes, float64(u.nodes))
+		logs = append(logs, math.Log2(float64(u.nodes)))
 		values = append(values, v)
 		cells = append(cells, fmt.Sprintf("%.3g", v))
 	}
--- a/standin/matrix/worker.go
+++ b/standin/matrix/worker.go
@@ -73,7 +73,7 @@
 		if err = w.waitHealthy(ctx); err != nil {
 			break
 		}
-		if v, err = w.cell(ctx, c); !errors.Is(err, errUnreached) {
+		if v, err = w.runCell(ctx, c); !errors.Is(err, errUnreached) {
 			break
 		}
 		// A fault of the previous cell still has an effect: a node may consider a
@@ -103,9 +103,9 @@
 	return ""
 }
 
-// cell brings a request to its step, injects the faults, resumes the request,
+// runCell brings a request to its step, injects the faults, resumes the request,
 // removes the faults and checks the outcome.
-func (w *worker) cell(ctx context.Context, c Cell) (Verdict, error) {
+func (w *worker) runCell(ctx context.Context, c Cell) (Verdict, error) {
 	x := w.newExchange(ctx, c)
 	defer x.cancel()
 	if err := w.prepareHold(ctx, x); err != nil {
