--- a/standin/experiment/compare.go
+++ b/standin/experiment/compare.go
@@ -13,8 +13,8 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// comparison runs scenarios with several variants of the service in turn, on one
-// deployment and with the same schedules.
+// comparison runs scenarios with several variants of the service one after
+// another, on one deployment and with the same schedules.
 type comparison struct {
 	common
 	Scenarios []string      `long:"scenario" description:"only this one; may be repeated"`
@@ -23,19 +23,19 @@
 	Length    time.Duration `long:"length" description:"end each scenario after that long"`
 	Short     bool          `long:"short" description:"the same as --length 4s"`
 	Assets    string        `long:"plot-assets" description:"URL or directory with the chart script, ending in /"`
-	// hurried makes half of the calls hurried.
-	hurried  bool
-	revision uint64
+	// shortDeadlines gives half of the calls a short deadline.
+	shortDeadlines bool
+	revision       uint64
 }
 
 const (
 	shortLength = 4 * time.Second
-	// settle is the pause between two runs, in which queues empty and averages
-	// forget.
-	settle = 500 * time.Millisecond
+	// runPause is the pause between two runs, in which queues drain and moving
+	// averages decay.
+	runPause = 500 * time.Millisecond
 )
 
-// run compares variants and publishes the tables under a name.
+// run compares the variants and publishes the tables under name.
 func (c *comparison) run(ctx context.Context, name string, variants []variant) error {
 	chosen, err := c.choose()
 	if err != nil {
@@ -43,30 +43,30 @@
 	}
 	c.revision = 1
 	var tables []*table
-	return c.with(ctx, name, variants[0].fleet(c.revision), meanMs, func(d *deploy.Deployment) error {
-		for _, one := range chosen {
-			t, err := c.compare(ctx, d, one, variants)
+	return c.withDeployment(ctx, name, variants[0].fleet(c.revision), meanMs, func(d *deploy.Deployment) error {
+		for _, sc := range chosen {
+			t, err := c.compare(ctx, d, sc, variants)
 			if err != nil {
 				return err
 			}
 			tables = append(tables, t)
-			fmt.Fprintf(os.Stderr, "%s done, %d of %d\n", one.name, len(tables), len(chosen))
+			fmt.Fprintf(os.Stderr, "%s done, %d of %d\n", sc.name, len(tables), len(chosen))
 		}
 		return c.publish(name, tables...)
 	})
 }
 
-// choose gives the scenarios to run, and checks the names given.
+// choose returns the scenarios to run. It fails if a given name is unknown.
 func (c *comparison) choose() ([]scenario, error) {
 	if c.Repeat < 0 || c.Length < 0 {
 		return nil, fmt.Errorf("--repeat and --length can't be negative")
 	}
 	var names []string
 	var chosen []scenario
-	for _, one := range scenarios {
-		names = append(names, one.name)
-		if len(c.Scenarios) == 0 || slices.Contains(c.Scenarios, one.name) {
-			chosen = append(chosen, one)
+	for _, sc := range scenarios {
+		names = append(names, sc.name)
+		if len(c.Scenarios) == 0 || slices.Contains(c.Scenarios, sc.name) {
+			chosen = append(chosen, sc)
 		}
 	}
 	for _, name := range c.Scenarios {
@@ -77,25 +77,25 @@
 	return chosen, nil
 }
 
-// shorten ends a scenario as the options say.
-func (c *comparison) shorten(one scenario) scenario {
+// shorten limits the length of a scenario according to the options.
+func (c *comparison) shorten(sc scenario) scenario {
 	if c.Short {
-		one.length = min(one.length, shortLength)
+		sc.length = min(sc.length, shortLength)
 	}
 	if c.Length > 0 {
-		one.length = min(one.length, c.Length)
+		sc.length = min(sc.length, c.Length)
 	}
-	return one
+	return sc
 }
 
 // compare runs one scenario with every variant.
-func (c *comparison) compare(ctx context.Context, d *deploy.Deployment, one scenario, variants []variant) (*table, error) {
-	one = c.shorten(one)
-	one.hurried = c.hurried
+func (c *comparison) compare(ctx context.Context, d *deploy.Deployment, sc scenario, variants []variant) (*table, error) {
+	sc = c.shorten(sc)
+	sc.shortDeadlines = c.shortDeadlines
 	repeats := max(c.Repeat, 1)
 	t := &table{
-		Title:   one.name,
-		Note:    fmt.Sprintf("%s; %v, seed %d, %.0f calls/s to begin with", one.about, one.length, c.Seed, rate(d)),
+		Title:   sc.name,
+		Note:    fmt.Sprintf("%s; %v, seed %d, %.0f calls/s to begin with", sc.about, sc.length, c.Seed, rate(d)),
 		Columns: []string{"variant"},
 	}
 	if repeats > 1 {
@@ -106,11 +106,11 @@
 	}
 	t.Columns = append(t.Columns, "schedule")
 	runs := make([][]measurement, len(variants))
-	// All variants go through one schedule before the next, so that a change of
-	// the machine meets all of them.
+	// All variants run one schedule before the next schedule starts, so that a
+	// change of the machine's load affects all of them.
 	for i := range repeats {
 		for v := range variants {
-			m, err := c.measure(ctx, d, one, variants[v], c.Seed+uint64(i))
+			m, err := c.measure(ctx, d, sc, variants[v], c.Seed+uint64(i))
 			if err != nil {
 				return nil, err
 			}
@@ -123,27 +123,27 @@
 		t.add(rowOf(v.name, runs[i], best)...)
 		plots = append(plots, load.Series{Name: v.name, Report: runs[i][0].report})
 	}
-	return t, c.plot(one, plots)
+	return t, c.plot(sc, plots)
 }
 
-func (c *comparison) plot(one scenario, runs []load.Series) error {
-	f, err := os.Create(filepath.Join(c.Out, one.name+".html"))
+func (c *comparison) plot(sc scenario, runs []load.Series) error {
+	f, err := os.Create(filepath.Join(c.Out, sc.name+".html"))
 	if err != nil {
 		return err
 	}
-	if err := load.WritePlot(f, one.name+": "+one.about, c.Assets, runs...); err != nil {
+	if err := load.WritePlot(f, sc.name+": "+sc.about, c.Assets, runs...); err != nil {
 		_ = f.Close()
 		return err
 	}
 	return f.Close()
 }
 
-// rate is the load at which utilization of all slots are busy.
+// rate returns the call rate at which the share utilization of all slots is busy.
 func rate(d *deploy.Deployment) float64 {
 	return utilization * slots * float64(len(d.Places)) / (meanMs / 1000)
 }
 
-func (c *comparison) measure(ctx context.Context, d *deploy.Deployment, one scenario, v variant, seed uint64) (measurement, error) {
+func (c *comparison) measure(ctx context.Context, d *deploy.Deployment, sc scenario, v variant, seed uint64) (measurement, error) {
 	m := measurement{nodes: len(d.Places)}
 	if err := c.prepare(ctx, d, v); err != nil {
 		return m, err
@@ -152,10 +152,10 @@
 	if err != nil {
 		return m, err
 	}
-	m.metrics, _, err = during(ctx, d, func() error {
+	m.metrics, _, err = measureDuring(ctx, d, func() error {
 		start := time.Now()
-		done := play(ctx, d, one)
-		m.report = send(ctx, d, one, seed)
+		done := play(ctx, d, sc)
+		m.report = send(ctx, d, sc, seed)
 		m.took = time.Since(start)
 		return <-done
 	})
@@ -167,7 +167,7 @@
 	return m, err
 }
 
-// prepare makes all well and puts a variant in force.
+// prepare removes all faults and puts a variant into force.
 func (c *comparison) prepare(ctx context.Context, d *deploy.Deployment, v variant) error {
 	if err := reset(ctx, d); err != nil {
 		return err
@@ -179,6 +179,6 @@
 	if err := awaitRevision(ctx, d, c.revision); err != nil {
 		return err
 	}
-	time.Sleep(settle)
+	time.Sleep(runPause)
 	return ctx.Err()
 }
