--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Everything builds into build/. CHECK=1 makes the demo send a load and exit.
+# All build output goes to build/. With CHECK=1 the demo sends a load and exits.
 BIN := build/bin
 TOOLS := build/tools
 COMMIT = $(shell git describe --always --dirty)
@@ -17,25 +17,26 @@
 tools:
 	cd tools && go build -o ../$(TOOLS)/ mvdan.cc/gofumpt honnef.co/go/tools/cmd/staticcheck
 
-# Unit tests run with the race detector. Those of real processes build and start
-# whole deployments; their programs are built as they ship.
+# Unit tests run with the race detector. The tests in test/ start whole deployments
+# of real processes; their programs are built as released, without it.
 test:
 	go test -race $(TESTFLAGS) $$(go list ./... | grep -v /test/)
 	go test -p 2 $(TESTFLAGS) ./test/...
 
-# matrix writes docs/FAULTS.md; PAIRS=1 runs every two faults at once as well.
+# matrix writes docs/FAULTS.md. With PAIRS=1 it also runs pairs of simultaneous faults.
 matrix:
 	go test ./test/matrix -count=1 -v -matrix.write=$(CURDIR)/docs/FAULTS.md $(if $(PAIRS),-matrix.pairs)
 
-# chaos sends REQUESTS at-most-once requests under random faults.
+# chaos sends REQUESTS at-most-once requests under random faults (seed SEED).
 REQUESTS := 20000
 SEED := 7
 chaos:
 	go test ./test/process -run AtMostOnce -count=1 -v -timeout 20m -chaos.requests=$(REQUESTS) -chaos.seed=$(SEED)
 
-# soak plays random faults on real daemons: SEED=7, SEED=1-50, or MINUTES=3 of fresh
-# seeds. VMS is the size of each deployment, JOBS how many run at the same time; the logs
-# of seeds that fail go to build/soak.
+# soak injects random faults into real daemons. SEED=7 runs one seed, SEED=1-50 a
+# range, MINUTES=3 new seeds for three minutes. VMS is the number of VMs in each
+# deployment, JOBS the number of concurrent deployments. The logs of failed seeds go
+# to build/soak.
 VMS := 6
 JOBS := 4
 soak:
@@ -51,14 +52,15 @@
 demo: build
 	$(BIN)/standin-demo --bin $(BIN) $(DEMO_ARGS)
 
-# What is measured goes to build/experiments as Markdown, JSON and plots.
-# EXPERIMENT_ARGS selects, for example: --scenario slow --policy probe --short,
-# or puts the tables into a page: --page docs/MEASUREMENTS.md
+# Results are written to build/experiments as Markdown, JSON and plots.
+# EXPERIMENT_ARGS can select experiments, for example
+# "--scenario slow --policy probe --short", or write the tables into a page:
+# "--page docs/MEASUREMENTS.md".
 experiments: build
 	$(BIN)/standin-experiment policies --bin $(BIN) --commit $(COMMIT) $(EXPERIMENT_ARGS)
 
-# What each byte of measuring buys, and the orders of the guards' queues: each run
-# three times. Under four minutes.
+# Compares measuring budgets (bytes spent on measuring) and the queue orders of
+# guards, with three runs of each. Takes under four minutes.
 comparisons: build
 	$(BIN)/standin-experiment budgets --bin $(BIN) --commit $(COMMIT) $(EXPERIMENT_ARGS)
 	$(BIN)/standin-experiment orders --bin $(BIN) --commit $(COMMIT) $(EXPERIMENT_ARGS)
