--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs_test checks the pages of this repository.
+// Package docs_test checks the Markdown pages of this repository.
 package docs_test
 
 import (
@@ -12,10 +12,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-var link = regexp.MustCompile(`\]\(([^)#\s]+)(#[^)]*)?\)`)
+// linkPattern matches a Markdown link. Its first group is the target without the fragment.
+var linkPattern = regexp.MustCompile(`\]\(([^)#\s]+)(#[^)]*)?\)`)
 
-// pages gives the path of every Markdown page.
-func pages(t *testing.T) []string {
+// markdownPages returns the paths of all Markdown pages.
+func markdownPages(t *testing.T) []string {
 	t.Helper()
 	var list []string
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
@@ -35,11 +36,12 @@
 	return list
 }
 
-func TestLinksLeadSomewhere(t *testing.T) {
-	for _, page := range pages(t) {
+// Every relative link in a page must point to an existing file.
+func TestRelativeLinksResolve(t *testing.T) {
+	for _, page := range markdownPages(t) {
 		text, err := os.ReadFile(page)
 		require.NoError(t, err)
-		for _, m := range link.FindAllStringSubmatch(string(text), -1) {
+		for _, m := range linkPattern.FindAllStringSubmatch(string(text), -1) {
 			if strings.Contains(m[1], "://") {
 				continue
 			}
@@ -49,22 +51,23 @@
 	}
 }
 
-var testName = regexp.MustCompile("`(Test[A-Za-z0-9]+)`")
+var testNamePattern = regexp.MustCompile("`(Test[A-Za-z0-9]+)`")
 
-// A page that claims a proof must name a test that is there.
-func TestWhatIsProvedNamesTestsThatExist(t *testing.T) {
+// PROVED.md lists the tests behind each guarantee. A test that is renamed or removed
+// must not stay listed.
+func TestProvedPageNamesExistingTests(t *testing.T) {
 	text, err := os.ReadFile("PROVED.md")
 	require.NoError(t, err)
-	declared := declaredTests(t)
-	named := testName.FindAllStringSubmatch(string(text), -1)
+	sources := testSources(t)
+	named := testNamePattern.FindAllStringSubmatch(string(text), -1)
 	require.NotEmpty(t, named)
 	for _, m := range named {
-		require.True(t, strings.Contains(declared, "func "+m[1]+"("), m[1])
+		require.True(t, strings.Contains(sources, "func "+m[1]+"("), m[1])
 	}
 }
 
-// declaredTests is the text of every test file.
-func declaredTests(t *testing.T) string {
+// testSources returns the concatenated text of all test files.
+func testSources(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
