--- a/test/process/answers_test.go
+++ b/test/process/answers_test.go
@@ -23,18 +23,19 @@
 	"github.com/limpetdock/limpetdock/internal/headers"
 )
 
-// Many callers share all nodes and their connections. Each must get exactly
-// the answer to its own request; a mixed-up one would show another's body.
+// Many callers share all nodes and their connections. Each must get the answer
+// to its own request. Every request has a random body that its answer repeats, so
+// an answer delivered to the wrong caller is detected.
 func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
-	_, d := start(t)
-	const callers, each = 50, 200
+	_, d := startDeployment(t)
+	const callers, requestsPerCaller = 50, 200
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	t.Cleanup(client.CloseIdleConnections)
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
 			rnd := rand.New(rand.NewPCG(3, uint64(i)))
-			for range each {
+			for range requestsPerCaller {
 				body := make([]byte, 1+rnd.IntN(20_000))
 				for j := range body {
 					body[j] = byte(rnd.Uint32())
@@ -69,13 +70,13 @@
 	wg.Wait()
 }
 
-// A caller uploads a long file through one node to another. It arrives whole,
-// and neither node may hold it in memory.
-func TestALongUploadNeedsNoMemory(t *testing.T) {
-	_, d := start(t)
+// A caller uploads a large file through one node to another. The file must
+// arrive complete, and neither node may buffer it in memory.
+func TestLargeUploadIsNotBufferedInMemory(t *testing.T) {
+	_, d := startDeployment(t)
 	const size = 256 << 20
 	const maxMemoryKB = 128 << 10
-	body := &pattern{left: size, sum: sha256.New()}
+	body := &generatedBody{remaining: size, sum: sha256.New()}
 	req, err := http.NewRequest(http.MethodPut, "http://"+d.Places[0].Callers()+"/uploads/chart", body)
 	require.NoError(t, err)
 	req.ContentLength = size
@@ -86,43 +87,43 @@
 	text, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, resp.StatusCode, string(text))
-	var arrived struct {
+	var received struct {
 		Sha256 string `json:"sha256"`
 		Size   int64  `json:"size"`
 	}
-	require.NoError(t, json.Unmarshal(text, &arrived))
-	require.Equal(t, hex.EncodeToString(body.sum.Sum(nil)), arrived.Sha256)
-	require.EqualValues(t, size, arrived.Size)
-	most := 0
+	require.NoError(t, json.Unmarshal(text, &received))
+	require.Equal(t, hex.EncodeToString(body.sum.Sum(nil)), received.Sha256)
+	require.EqualValues(t, size, received.Size)
+	peak := 0
 	for _, p := range d.Places {
-		most = max(most, peakMemoryKB(t, d.Node(p.VM).Pid()))
+		peak = max(peak, peakMemoryKB(t, d.Node(p.VM).Pid()))
 	}
-	t.Logf("most memory of any node: %d KB", most)
-	require.Less(t, most, maxMemoryKB)
+	t.Logf("peak memory of any node: %d KB", peak)
+	require.Less(t, peak, maxMemoryKB)
 }
 
-// pattern is a body that is made as it is read.
-type pattern struct {
-	left int
-	sum  hash.Hash
-	next byte
+// generatedBody is a request body that is generated while it is read.
+type generatedBody struct {
+	remaining int
+	sum       hash.Hash
+	next      byte
 }
 
-func (p *pattern) Read(b []byte) (int, error) {
-	if p.left == 0 {
+func (p *generatedBody) Read(b []byte) (int, error) {
+	if p.remaining == 0 {
 		return 0, io.EOF
 	}
-	n := min(len(b), p.left)
+	n := min(len(b), p.remaining)
 	for i := range n {
 		p.next = p.next*31 + 7
 		b[i] = p.next
 	}
-	p.left -= n
+	p.remaining -= n
 	_, err := p.sum.Write(b[:n])
 	return n, err
 }
 
-// peakMemoryKB reads the most memory that a process has held.
+// peakMemoryKB returns the peak resident memory of a process.
 func peakMemoryKB(t *testing.T, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -134,10 +135,10 @@
 	return kb
 }
 
-// A backend server's process is killed while many callers read. Its reads go
-// to other targets, and no caller sees a failure.
-func TestReadsSurviveAKilledBackendServer(t *testing.T) {
-	ctx, d := start(t)
+// Two backend servers are killed, one after the other, while many callers read.
+// Their reads must be retried at other targets, and no caller may see a failure.
+func TestReadsSucceedWhileBackendServersAreKilled(t *testing.T) {
+	ctx, d := startDeployment(t)
 	var sent, failed atomic.Int64
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -159,15 +160,15 @@
 			}
 		})
 	}
-	const enough = 1000
-	until := func(n int64) {
+	const readsPerPhase = 1000
+	waitForReads := func(n int64) {
 		require.Eventually(t, func() bool { return sent.Load() >= n }, waitLimit, pollEvery)
 	}
-	until(enough)
+	waitForReads(readsPerPhase)
 	require.NoError(t, d.Backend("catalogue-rs-a").Kill())
-	until(3 * enough)
+	waitForReads(3 * readsPerPhase)
 	require.NoError(t, d.Backend("catalogue-pr-b").Kill())
-	until(6 * enough)
+	waitForReads(6 * readsPerPhase)
 	close(stop)
 	wg.Wait()
 	t.Logf("%d reads, %d failed", sent.Load(), failed.Load())
--- a/test/process/configuration_test.go
+++ b/test/process/configuration_test.go
@@ -19,8 +19,8 @@
 	pollEvery = 20 * time.Millisecond
 )
 
-// dump reads a node's state.
-func dump(p deploy.Place) (admin.Dump, error) {
+// fetchDump reads a node's state dump from its admin listener.
+func fetchDump(p deploy.Place) (admin.Dump, error) {
 	var d admin.Dump
 	resp, err := http.Get("http://" + p.Admin() + "/v1/dump")
 	if err != nil {
@@ -30,20 +30,21 @@
 	return d, json.NewDecoder(resp.Body).Decode(&d)
 }
 
-// revision tells which configuration is in force at a node; 0 while there is none.
-func revision(p deploy.Place) uint64 {
-	d, err := dump(p)
+// revisionInForce returns the configuration revision in force at a node, 0 if
+// there is none or the node does not answer.
+func revisionInForce(p deploy.Place) uint64 {
+	d, err := fetchDump(p)
 	if err != nil {
 		return 0
 	}
 	return d.Control.Config.Version.Revision
 }
 
-// Operators publish revision after revision while one region's platform shows
-// an old state and nodes are restarted. Every node must come to the newest, and
-// none may ever report an older one than before, restarts included.
-func TestConfigurationNeverGoesBack(t *testing.T) {
-	ctx, d := start(t)
+// Operators publish a series of revisions while the platform of one region
+// returns a stale state and nodes are restarted. Every node must reach the newest
+// revision, and none may report an older one than before, even after a restart.
+func TestConfigurationRevisionNeverDecreases(t *testing.T) {
+	ctx, d := startDeployment(t)
 	state, err := d.PlatformState(ctx)
 	require.NoError(t, err)
 	for _, zone := range []string{"pr-a", "pr-b"} {
@@ -60,9 +61,9 @@
 					return
 				case <-time.After(pollEvery):
 				}
-				now := revision(p)
+				now := revisionInForce(p)
 				if now != 0 && now < newest {
-					t.Errorf("%s went back from revision %d to %d", p.VM, newest, now)
+					t.Errorf("%s went from revision %d back to %d", p.VM, newest, now)
 				}
 				newest = max(newest, now)
 			}
@@ -73,14 +74,14 @@
 		published := time.Now()
 		require.NoError(t, d.Publish(ctx, deployments.CestaViva(rev)))
 		for _, p := range d.Places {
-			require.Eventually(t, func() bool { return revision(p) == rev }, waitLimit, pollEvery, p.VM)
+			require.Eventually(t, func() bool { return revisionInForce(p) == rev }, waitLimit, pollEvery, p.VM)
 		}
 		t.Logf("revision %d in force on all nodes after %s", rev, time.Since(published).Round(time.Millisecond))
 		require.NoError(t, d.Node(d.Places[int(rev)%len(d.Places)].VM).Kill())
 		require.NoError(t, d.Node("catalogue-pr-a").Kill())
 	}
 	for _, p := range d.Places {
-		require.Eventually(t, func() bool { return revision(p) == revisions }, waitLimit, pollEvery, p.VM)
+		require.Eventually(t, func() bool { return revisionInForce(p) == revisions }, waitLimit, pollEvery, p.VM)
 	}
 	close(stop)
 	watchers.Wait()
--- a/test/process/handover_test.go
+++ b/test/process/handover_test.go
@@ -14,12 +14,13 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// Operators restart the node of a home while drivers' payouts come in. Its next
-// process has no memory of its own: without its predecessor's it would turn own
-// keys away for a lifetime and more, and it must not run what ran there. Killed,
-// a process leaves nothing behind, and the next one waits.
-func TestAGracefulRestartKeepsAHomesKeys(t *testing.T) {
-	_, d := start(t)
+// The node of a home target is restarted while at-most-once requests arrive. The
+// new process starts without keys: unless its predecessor hands them on, it would
+// refuse keys chosen by callers for more than a key lifetime. It must not run a
+// request again that its predecessor ran. A killed process hands nothing on, so its
+// successor refuses such keys.
+func TestGracefulRestartKeepsIdempotencyKeys(t *testing.T) {
+	_, d := startDeployment(t)
 	waitForKeys(t, d)
 	home := "depot-rs-a"
 	var others []deploy.Place
@@ -28,53 +29,53 @@
 			others = append(others, p)
 		}
 	}
-	old := make([]string, 5)
-	for i := range old {
-		old[i] = keyAt(t, d, home)
-		status, k := post(t, others[i%len(others)], "depot", old[i])
+	oldKeys := make([]string, 5)
+	for i := range oldKeys {
+		oldKeys[i] = keyWithHome(t, d, home)
+		status, k := post(t, others[i%len(others)], "depot", oldKeys[i])
 		require.Equal(t, http.StatusOK, status, k)
 	}
-	// A copy goes on being sent all through the restart, as a phone would do.
-	before := incarnation(t, d, home)
+	// Repeats of requests keep arriving during the restart, as from a client that retries.
+	before := incarnationOf(t, d, home)
 	require.NoError(t, d.Node(home).Signal(syscall.SIGTERM))
-	during := keyAt(t, d, home)
+	newKey := keyWithHome(t, d, home)
 	require.Eventually(t, func() bool {
-		_, _ = post(t, others[0], "depot", old[0])
-		_, _ = post(t, others[1], "depot", during)
-		s, err := dump(place(d, home))
+		_, _ = post(t, others[0], "depot", oldKeys[0])
+		_, _ = post(t, others[1], "depot", newKey)
+		s, err := fetchDump(placeOf(d, home))
 		return err == nil && s.Control.Joined && s.Control.Self.Incarnation != before && s.Attempts.Keys.Taken
 	}, waitLimit, pollEvery)
 	var k kind.Kind
 	require.Eventually(t, func() bool {
 		var status int
-		status, k = post(t, others[0], "depot", keyAt(t, d, home))
+		status, k = post(t, others[0], "depot", keyWithHome(t, d, home))
 		return status == http.StatusOK
-	}, waitLimit, pollEvery, "new keys are taken again")
-	for _, key := range old {
+	}, waitLimit, pollEvery, "new keys are accepted again")
+	for _, key := range oldKeys {
 		status, k := post(t, others[2], "depot", key)
 		require.Equal(t, http.StatusOK, status, k)
 	}
-	runsOnce(t, d, home)
+	requireNoRepeatedRuns(t, d, home)
 
-	before = incarnation(t, d, home)
+	before = incarnationOf(t, d, home)
 	require.NoError(t, d.Node(home).Kill())
 	require.Eventually(t, func() bool {
-		s, err := dump(place(d, home))
+		s, err := fetchDump(placeOf(d, home))
 		return err == nil && s.Control.Joined && s.Control.Self.Incarnation != before
 	}, waitLimit, pollEvery)
 	require.Eventually(t, func() bool {
-		_, k = post(t, others[0], "depot", keyAt(t, d, home))
+		_, k = post(t, others[0], "depot", keyWithHome(t, d, home))
 		return k == kind.KeyUnknown
 	}, waitLimit, pollEvery, "a killed process hands nothing on")
-	for _, key := range old {
+	for _, key := range oldKeys {
 		status, _ := post(t, others[1], "depot", key)
 		require.NotEqual(t, http.StatusOK, status)
 	}
-	runsOnce(t, d, home)
+	requireNoRepeatedRuns(t, d, home)
 }
 
-// keyAt makes a key of the service depot whose home is a VM.
-func keyAt(t *testing.T, d *deploy.Deployment, vm string) string {
+// keyWithHome returns an idempotency key of the service depot whose home target is vm.
+func keyWithHome(t *testing.T, d *deploy.Deployment, vm string) string {
 	t.Helper()
 	var targets []string
 	for _, svc := range d.Fleet().Services {
@@ -93,7 +94,7 @@
 	}
 }
 
-func place(d *deploy.Deployment, vm string) deploy.Place {
+func placeOf(d *deploy.Deployment, vm string) deploy.Place {
 	for _, p := range d.Places {
 		if p.VM == vm {
 			return p
@@ -102,19 +103,20 @@
 	return deploy.Place{}
 }
 
-func incarnation(t *testing.T, d *deploy.Deployment, vm string) uint64 {
+func incarnationOf(t *testing.T, d *deploy.Deployment, vm string) uint64 {
 	t.Helper()
 	var s admin.Dump
 	require.Eventually(t, func() bool {
 		var err error
-		s, err = dump(place(d, vm))
+		s, err = fetchDump(placeOf(d, vm))
 		return err == nil
 	}, waitLimit, pollEvery)
 	return s.Control.Self.Incarnation
 }
 
-// runsOnce checks by the backend server's own ledger that no key ran twice.
-func runsOnce(t *testing.T, d *deploy.Deployment, vm string) {
+// requireNoRepeatedRuns checks in the ledger of a VM's backend server that no
+// at-most-once request ran twice.
+func requireNoRepeatedRuns(t *testing.T, d *deploy.Deployment, vm string) {
 	t.Helper()
 	runs, err := d.Runs(vm)
 	require.NoError(t, err)
--- a/test/process/killer_test.go
+++ b/test/process/killer_test.go
@@ -19,12 +19,13 @@
 )
 
 const (
-	killerID = "killer"
-	// askAgain is the Retry-After that the caller keeps to.
-	askAgain = time.Second
+	crashingID = "killer"
+	// retryInterval is the Retry-After that the caller honours.
+	retryInterval = time.Second
 )
 
-// get sends a read of the catalogue and gives status and error kind.
+// get sends a read to the catalogue service and returns its status and error
+// kind. With crash set, the request crashes the backend server that runs it.
 func get(ctx context.Context, p deploy.Place, id, path string, crash bool) (status int, k kind.Kind, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Callers()+path, nil)
 	if err != nil {
@@ -44,12 +45,12 @@
 	return resp.StatusCode, kind.Kind(resp.Header.Get(headers.Kind)), err
 }
 
-// One read crashes every backend server that runs it, and its caller sends it
-// again and again through all nodes. Other callers, whose reads were in flight
-// beside it, see no failure; the caller of the killing read soon gets a final
-// answer from every node without another crash.
-func TestARequestThatKills(t *testing.T) {
-	ctx, d := start(t)
+// One read crashes every backend server that runs it, and its caller repeats it
+// through all nodes. Other callers, whose reads run at the same backend servers,
+// must see no failure. The crashing read must then be refused by every node
+// without another crash.
+func TestRequestThatCrashesBackendServersIsBlocked(t *testing.T) {
+	ctx, d := startDeployment(t)
 	stop := make(chan struct{})
 	var readers sync.WaitGroup
 	for i := range 12 {
@@ -62,45 +63,46 @@
 				}
 				status, k, err := get(ctx, d.Places[(i+n)%len(d.Places)], uuid.NewString(), "/catalogue/week", false)
 				if err != nil || status != http.StatusOK {
-					t.Errorf("a bystander's read failed: %d %s %v", status, k, err)
+					t.Errorf("a read of another caller failed: %d %s %v", status, k, err)
 				}
 			}
 		})
 	}
-	// The caller asks again as soon as it is told it may, each time elsewhere.
+	// The caller retries after each Retry-After interval, each time at another node.
 	sends := 0
 	require.Eventually(t, func() bool {
 		p := d.Places[sends%len(d.Places)]
 		sends++
-		_, k, err := get(ctx, p, killerID, "/catalogue/crash", true)
+		_, k, err := get(ctx, p, crashingID, "/catalogue/crash", true)
 		require.NoError(t, err)
 		return k == kind.Blocked
-	}, waitLimit, askAgain)
+	}, waitLimit, retryInterval)
 	for _, p := range d.Places {
-		require.Eventually(t, func() bool { return blocks(p) }, waitLimit, pollEvery, p.VM)
+		require.Eventually(t, func() bool { return blocksRequest(p) }, waitLimit, pollEvery, p.VM)
 	}
-	runs := killerRuns(t, d)
-	t.Logf("%d runs of the killing read before it was blocked, %d sends", runs, sends)
+	runs := crashingRuns(t, d)
+	t.Logf("%d runs of the crashing read before it was blocked, %d sends", runs, sends)
 	for _, p := range d.Places {
-		_, k, err := get(ctx, p, killerID, "/catalogue/crash", true)
+		_, k, err := get(ctx, p, crashingID, "/catalogue/crash", true)
 		require.NoError(t, err)
 		require.Equal(t, kind.Blocked, k, p.VM)
 	}
-	require.Equal(t, runs, killerRuns(t, d), "a blocked read doesn't run")
+	require.Equal(t, runs, crashingRuns(t, d), "a blocked read must not run")
 	close(stop)
 	readers.Wait()
 }
 
-func killerRuns(t *testing.T, d *deploy.Deployment) int {
+func crashingRuns(t *testing.T, d *deploy.Deployment) int {
 	t.Helper()
 	starts, err := d.Starts()
 	require.NoError(t, err)
-	return starts[killerID]
+	return starts[crashingID]
 }
 
-// blocks says whether a node knows of a request that died alone.
-func blocks(p deploy.Place) bool {
-	d, err := dump(p)
+// blocksRequest reports whether a node knows of a request whose runs ended in at
+// least two crashes, at least one of them with no other request in flight.
+func blocksRequest(p deploy.Place) bool {
+	d, err := fetchDump(p)
 	if err != nil {
 		return false
 	}
--- a/test/process/process_test.go
+++ b/test/process/process_test.go
@@ -1,4 +1,4 @@
-// Package process_test proves promises with deployments of real processes.
+// Package process_test runs end-to-end tests on deployments of real processes.
 package process_test
 
 import (
@@ -26,8 +26,8 @@
 	chaosRequests = flag.Int("chaos.requests", 6000, "at-most-once requests sent under faults")
 	chaosSeed     = flag.Uint64("chaos.seed", 7, "seed of the faults")
 	bin           string
-	// atOnce bounds the deployments that run at the same time.
-	atOnce = make(chan struct{}, 3)
+	// deploymentSlots limits the number of deployments that run concurrently.
+	deploymentSlots = make(chan struct{}, 3)
 )
 
 func TestMain(m *testing.M) {
@@ -45,12 +45,12 @@
 	os.Exit(code)
 }
 
-// start starts a deployment of Cesta Viva that ends with the test.
-func start(t *testing.T) (context.Context, *deploy.Deployment) {
+// startDeployment starts a deployment of Cesta Viva and stops it when the test ends.
+func startDeployment(t *testing.T) (context.Context, *deploy.Deployment) {
 	t.Helper()
 	t.Parallel()
-	atOnce <- struct{}{}
-	t.Cleanup(func() { <-atOnce })
+	deploymentSlots <- struct{}{}
+	t.Cleanup(func() { <-deploymentSlots })
 	octet, release, err := deploy.FreeNet()
 	require.NoError(t, err)
 	t.Cleanup(release)
@@ -66,12 +66,12 @@
 	return ctx, d
 }
 
-// Callers confirm orders and pay drivers while nodes and backend servers are
-// killed, frozen, cut off and drained at random. Whoever gets no clear answer
-// sends the same request again through another node. No order may run twice, and
-// nobody who is told "not run" may find that it ran.
+// Callers send at-most-once requests while nodes and backend servers are killed,
+// frozen, disconnected and drained at random. A caller without a definite answer
+// sends the same request again through another node. No request may run twice,
+// and no request that was answered "not run" may have run.
 func TestAtMostOnceUnderRandomFaults(t *testing.T) {
-	ctx, d := start(t)
+	ctx, d := startDeployment(t)
 	waitForKeys(t, d)
 	r, err := chaos.Run(ctx, d, chaos.Options{
 		Requests: *chaosRequests, Callers: 60, Pace: 200 * time.Millisecond, Seed: *chaosSeed, Log: t.Logf,
@@ -84,11 +84,12 @@
 	}
 }
 
-// waitForKeys waits until every home takes callers' own keys: a new process
-// refuses them until no key that its predecessor may have run can come again.
+// waitForKeys waits until every home target accepts idempotency keys chosen by
+// callers. A new process refuses them until every key that its predecessor may
+// have run has expired.
 func waitForKeys(t *testing.T, d *deploy.Deployment) {
 	t.Helper()
-	const inARow = 40
+	const consecutive = 40
 	ok := 0
 	require.Eventually(t, func() bool {
 		for _, service := range []string{"orders", "depot"} {
@@ -98,11 +99,11 @@
 			}
 		}
 		ok++
-		return ok >= inARow
+		return ok >= consecutive
 	}, 3*time.Minute, 10*time.Millisecond)
 }
 
-// post sends an at-most-once request under a key of the caller's own.
+// post sends an at-most-once request with an idempotency key chosen by the caller.
 func post(t *testing.T, p deploy.Place, service, key string) (int, kind.Kind) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+p.Callers()+"/payouts/run", strings.NewReader("x"))
--- a/test/process/recovery_test.go
+++ b/test/process/recovery_test.go
@@ -14,8 +14,8 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// started counts the runs that began at a VM's backend server.
-func started(t *testing.T, d *deploy.Deployment, vm string) int {
+// runsStarted returns how many runs the backend server of a VM has started.
+func runsStarted(t *testing.T, d *deploy.Deployment, vm string) int {
 	runs, err := d.Runs(vm)
 	require.NoError(t, err)
 	n := 0
@@ -27,15 +27,15 @@
 	return n
 }
 
-// A node is frozen. Meanwhile a backend server is taken out and a new revision
-// put in force. The node wakes and acts at once on what it last knew: its callers
-// must still be served, and the backend server that left must get nothing.
-func TestAWokenEntryDoesNoHarm(t *testing.T) {
-	ctx, d := start(t)
-	entry, left := d.Places[0], "catalogue-rs-b"
+// While a node is frozen, a backend server is removed and a new revision comes
+// into force. After the node resumes, it first acts on its stale state: its callers
+// must still be served, and the removed backend server must receive no request.
+func TestResumedEntrySendsNothingToRemovedTarget(t *testing.T) {
+	ctx, d := startDeployment(t)
+	entry, removed := d.Places[0], "catalogue-rs-b"
 	var guard deploy.Place
 	for _, p := range d.Places {
-		if p.VM == left {
+		if p.VM == removed {
 			guard = p
 		}
 	}
@@ -45,15 +45,15 @@
 		next.Services[i].Queue = 20
 	}
 	require.NoError(t, d.Publish(ctx, next))
-	require.NoError(t, d.SetVM(ctx, left, "leaving"))
+	require.NoError(t, d.SetVM(ctx, removed, "leaving"))
 	for _, p := range d.Places[1:] {
-		require.Eventually(t, func() bool { return revision(p) == 2 }, waitLimit, pollEvery, p.VM)
+		require.Eventually(t, func() bool { return revisionInForce(p) == 2 }, waitLimit, pollEvery, p.VM)
 	}
 	require.Eventually(t, func() bool {
-		state, err := dump(guard)
+		state, err := fetchDump(guard)
 		return err == nil && state.Control.Leaving
-	}, waitLimit, pollEvery, "the guard refuses by itself")
-	before := started(t, d, left)
+	}, waitLimit, pollEvery, "the guard knows that its VM is leaving")
+	before := runsStarted(t, d, removed)
 	require.NoError(t, d.Node(entry.VM).Thaw())
 	const reads = 200
 	for range reads {
@@ -61,17 +61,18 @@
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status, k)
 	}
-	require.Equal(t, before, started(t, d, left), "runs at the backend server that left")
+	require.Equal(t, before, runsStarted(t, d, removed), "runs at the removed backend server")
 }
 
-// All nodes of an availability zone are killed at once and come back without
-// memory. They must come to the configuration in force, and what they ask of the
-// platform must stay a few calls for each.
-func TestAZoneComesBack(t *testing.T) {
-	ctx, d := start(t)
+// All nodes of an availability zone are killed at once and restart without any
+// state. They must reach the configuration in force with at most eight platform
+// calls for each node, apart from the regular calls of the other nodes. The guards
+// of the zone must not be overloaded when they are available again.
+func TestKilledZoneRecoversWithBoundedLoad(t *testing.T) {
+	ctx, d := startDeployment(t)
 	require.NoError(t, d.Publish(ctx, deployments.CestaViva(2)))
 	for _, p := range d.Places {
-		require.Eventually(t, func() bool { return revision(p) == 2 }, waitLimit, pollEvery, p.VM)
+		require.Eventually(t, func() bool { return revisionInForce(p) == 2 }, waitLimit, pollEvery, p.VM)
 	}
 	calls := func() (n uint64) {
 		state, err := d.PlatformState(ctx)
@@ -82,14 +83,14 @@
 		return n
 	}
 	const zone = "sc-a"
-	sent := readers(ctx, d, zone)
+	sent := startReaders(ctx, d, zone)
 	before, start := calls(), time.Now()
-	lost := map[string]uint64{}
+	oldIncarnations := map[string]uint64{}
 	for _, p := range d.Places {
 		if p.Zone == zone {
-			state, err := dump(p)
+			state, err := fetchDump(p)
 			require.NoError(t, err)
-			lost[p.VM] = state.Control.Self.Incarnation
+			oldIncarnations[p.VM] = state.Control.Self.Incarnation
 			require.NoError(t, d.Node(p.VM).Kill())
 		}
 	}
@@ -98,33 +99,34 @@
 			continue
 		}
 		require.Eventually(t, func() bool {
-			state, err := dump(p)
-			return err == nil && state.Control.Joined && state.Control.Self.Incarnation != lost[p.VM]
+			state, err := fetchDump(p)
+			return err == nil && state.Control.Joined && state.Control.Self.Incarnation != oldIncarnations[p.VM]
 		}, waitLimit, pollEvery, p.VM)
-		require.EqualValues(t, 2, revision(p))
+		require.EqualValues(t, 2, revisionInForce(p))
 	}
-	took, spent := time.Since(start), calls()-before
-	noHerd(t, d, zone, sent)
-	t.Logf("%d nodes back after %v; %d platform calls meanwhile", len(lost), took.Round(time.Millisecond), spent)
-	// Index, list and three documents for each node; what the others call at rest
-	// is two watches of two keys in each zone every 20 s.
-	rest := 24 * (1 + uint64(took/(20*time.Second)))
-	require.LessOrEqual(t, spent, uint64(len(lost))*8+rest)
+	elapsed, platformCalls := time.Since(start), calls()-before
+	requireBoundedLoad(t, d, zone, sent)
+	t.Logf("%d nodes available again after %v; %d platform calls meanwhile", len(oldIncarnations), elapsed.Round(time.Millisecond), platformCalls)
+	// A restarted node reads the index, the list and three documents. The other nodes
+	// make the calls of two watches of two keys in each zone every 20 s.
+	backgroundCalls := 24 * (1 + uint64(elapsed/(20*time.Second)))
+	require.LessOrEqual(t, platformCalls, uint64(len(oldIncarnations))*8+backgroundCalls)
 }
 
 const (
-	readersAtEach = 2
-	readPause     = 50 * time.Millisecond
+	readersPerNode = 2
+	readPause      = 50 * time.Millisecond
 )
 
-// readers are callers that read at the nodes of all zones but one, until ctx
-// ends, with pauses that leave the machine to other tests. They count what they have sent.
-func readers(ctx context.Context, d *deploy.Deployment, but string) *atomic.Int64 {
+// startReaders starts callers that read at the nodes of all zones but exceptZone
+// until ctx ends. It returns a counter of the reads sent. Pauses between reads
+// leave processor time to tests that run in parallel.
+func startReaders(ctx context.Context, d *deploy.Deployment, exceptZone string) *atomic.Int64 {
 	sent := &atomic.Int64{}
 	for _, p := range d.Places {
-		for range readersAtEach {
+		for range readersPerNode {
 			go func() {
-				for p.Zone != but && ctx.Err() == nil {
+				for p.Zone != exceptZone && ctx.Err() == nil {
 					_, _, _ = get(ctx, p, uuid.NewString(), "/catalogue/week", false)
 					sent.Add(1)
 					time.Sleep(readPause)
@@ -135,12 +137,13 @@
 	return sent
 }
 
-// noHerd checks what the guards of a zone that is back saw in their first second:
-// what their processes have counted since they began, a second after they serve.
-func noHerd(t *testing.T, d *deploy.Deployment, zone string, sent *atomic.Int64) {
+// requireBoundedLoad checks, a second after the guards of a restarted zone began to
+// serve, the connections they accepted since their processes started and the runs
+// of that second.
+func requireBoundedLoad(t *testing.T, d *deploy.Deployment, zone string, sent *atomic.Int64) {
 	runs := map[string]int{}
 	for _, p := range d.Places {
-		runs[p.VM] = started(t, d, p.VM)
+		runs[p.VM] = runsStarted(t, d, p.VM)
 	}
 	before := sent.Load()
 	time.Sleep(time.Second)
@@ -149,15 +152,16 @@
 		if p.Zone != zone {
 			continue
 		}
-		connections := counter(t, p, `limpetdock_http_connections_total{server="guard"}`)
-		ran := started(t, d, p.VM) - runs[p.VM]
-		t.Logf("%s: %v connections since it began, %d runs; an equal share of the reads sent is %d", p.VM, connections, ran, share)
-		require.LessOrEqual(t, connections, float64(connectionsOnReturn), p.VM)
+		connections := readCounter(t, p, `limpetdock_http_connections_total{server="guard"}`)
+		ran := runsStarted(t, d, p.VM) - runs[p.VM]
+		t.Logf("%s: %v connections since its start, %d runs; an equal share of the reads sent is %d", p.VM, connections, ran, share)
+		require.LessOrEqual(t, connections, float64(maxConnectionsAfterStart), p.VM)
 		require.LessOrEqual(t, ran, 2*share+4, p.VM)
 	}
 }
 
-// connectionsOnReturn bounds the connections that a guard accepts from its start
-// to a second after it serves: one opened ahead by each of the 17 other entries,
-// and one for each reader. A herd would be 22 from each entry.
-const connectionsOnReturn = 17 + 15*readersAtEach
+// maxConnectionsAfterStart limits the connections that a guard accepts from its
+// start until a second after it begins to serve: one opened in advance by each of
+// the 17 other entries, and one for each reader. If all entries connected at once,
+// each of them would open 22.
+const maxConnectionsAfterStart = 17 + 15*readersPerNode
--- a/test/process/rolling_test.go
+++ b/test/process/rolling_test.go
@@ -22,8 +22,8 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// rollingCalls are what callers send during a rolling restart.
-var rollingCalls = []struct {
+// rollingRequests are the requests that callers send during a rolling restart.
+var rollingRequests = []struct {
 	service, method, path string
 	size                  int
 }{
@@ -33,33 +33,35 @@
 	{"depot", http.MethodPut, "/uploads/plan", 300_000},
 }
 
-// callerIdle is how long a caller keeps an idle connection: less than the grace
-// of a stopping node, as docs/operators/leaving.md asks of callers. Over HTTP/1.1
-// no server can close an idle connection without a request being on its way.
-const callerIdle = time.Second
+// callerIdleTimeout is how long a caller keeps an idle connection. It is shorter
+// than the grace period of a stopping node, as docs/operators/leaving.md requires:
+// an HTTP/1.1 server cannot close an idle connection without the risk that a
+// request is already on its way.
+const callerIdleTimeout = time.Second
 
-// rollingTally counts what callers met, and what they should never have.
-type rollingTally struct {
-	mu              sync.Mutex
-	done            map[string]bool
-	elsewhere, dial int
-	wrong           []string
+// rollingResults collects the outcomes that callers saw: completed requests,
+// retries at another node, and failures.
+type rollingResults struct {
+	mu                 sync.Mutex
+	done               map[string]bool
+	notRun, dialErrors int
+	failures           []string
 }
 
-func (r *rollingTally) add(f func()) {
+func (r *rollingResults) add(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-// caller sends requests until ctx ends. It goes to another node only if a node
-// takes no connection or says that the request wasn't run.
-func (r *rollingTally) caller(ctx context.Context, d *deploy.Deployment, seed uint64) {
+// caller sends requests until ctx ends. It retries at another node only if a node
+// accepts no connection or answers that the request was not run.
+func (r *rollingResults) caller(ctx context.Context, d *deploy.Deployment, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: callerIdle}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: callerIdleTimeout}}
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		c := rollingCalls[rnd.IntN(len(rollingCalls))]
+		c := rollingRequests[rnd.IntN(len(rollingRequests))]
 		id := uuid.NewString()
 		body := bytes.Repeat([]byte{byte('a' + rnd.IntN(26))}, c.size)
 		for !r.send(client, d.Places[rnd.IntN(len(d.Places))], c.service, c.method, c.path, id, body) {
@@ -67,8 +69,9 @@
 	}
 }
 
-// send gives true once the request has come to an end, good or bad.
-func (r *rollingTally) send(client *http.Client, p deploy.Place, service, method, path, id string, body []byte) bool {
+// send sends a request once. It reports whether the request is finished, whether
+// it succeeded or failed; otherwise the caller may send it again.
+func (r *rollingResults) send(client *http.Client, p deploy.Place, service, method, path, id string, body []byte) bool {
 	req, err := http.NewRequest(method, "http://"+p.Callers()+path, bytes.NewReader(body))
 	if err != nil {
 		panic(err)
@@ -79,22 +82,22 @@
 	resp, err := client.Do(req)
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		r.add(func() { r.dial++ })
+		r.add(func() { r.dialErrors++ })
 		return false
 	}
 	if err != nil {
-		r.add(func() { r.wrong = append(r.wrong, fmt.Sprintf("%s %s at %s: %v", method, path, p.VM, err)) })
+		r.add(func() { r.failures = append(r.failures, fmt.Sprintf("%s %s at %s: %v", method, path, p.VM, err)) })
 		return true
 	}
 	defer func() { _ = resp.Body.Close() }()
 	got, err := io.ReadAll(resp.Body)
 	switch {
 	case err == nil && resp.Header.Get(headers.Outcome) == string(kind.NotRun):
-		r.add(func() { r.elsewhere++ })
+		r.add(func() { r.notRun++ })
 		return false
 	case err != nil || resp.StatusCode != http.StatusOK || len(body) > 0 && !bytes.Equal(got, body):
 		r.add(func() {
-			r.wrong = append(r.wrong, fmt.Sprintf("%s %s at %s: %s %.200s %v", method, path, p.VM, resp.Status, got, err))
+			r.failures = append(r.failures, fmt.Sprintf("%s %s at %s: %s %.200s %v", method, path, p.VM, resp.Status, got, err))
 		})
 	default:
 		r.add(func() { r.done[id] = true })
@@ -102,13 +105,14 @@
 	return true
 }
 
-// Operators replace every node, zone by zone, while callers read, upload, book
-// and pay. No request in flight may be cut, at the node that stops or at one
-// that used it as a target; nothing may end unknown, and nothing may run twice.
-func TestARollingRestartLosesNothing(t *testing.T) {
-	ctx, d := start(t)
+// All nodes are restarted, zone by zone, while callers read, upload and send
+// at-most-once requests. No request in flight may be interrupted, neither at the
+// stopping node nor at an entry that uses it as a target. No outcome may be
+// unknown, and no request may run twice.
+func TestRollingRestartLosesNoRequests(t *testing.T) {
+	ctx, d := startDeployment(t)
 	load, stop := context.WithCancel(ctx)
-	r := &rollingTally{done: map[string]bool{}}
+	r := &rollingResults{done: map[string]bool{}}
 	var callers sync.WaitGroup
 	const count = 16
 	for i := range count {
@@ -119,8 +123,8 @@
 	}
 	stop()
 	callers.Wait()
-	t.Logf("%d answered; told not run and sent elsewhere: %d; no connection: %d", len(r.done), r.elsewhere, r.dial)
-	require.Empty(t, r.wrong)
+	t.Logf("%d answered; answered not run and sent to another node: %d; no connection: %d", len(r.done), r.notRun, r.dialErrors)
+	require.Empty(t, r.failures)
 	require.NotEmpty(t, r.done)
 	starts, err := d.Starts()
 	require.NoError(t, err)
@@ -138,12 +142,12 @@
 	}
 }
 
-// restartZone stops all nodes of a zone and waits until their successors serve.
+// restartZone stops all nodes of a zone and waits until their successors have joined.
 func restartZone(t *testing.T, d *deploy.Deployment, zone string) {
 	before := map[string]uint64{}
 	for _, p := range d.Places {
 		if p.Zone == zone {
-			state, err := dump(p)
+			state, err := fetchDump(p)
 			require.NoError(t, err)
 			before[p.VM] = state.Control.Self.Incarnation
 			require.NoError(t, d.Node(p.VM).Signal(syscall.SIGTERM))
@@ -155,7 +159,7 @@
 			continue
 		}
 		require.Eventually(t, func() bool {
-			state, err := dump(p)
+			state, err := fetchDump(p)
 			return err == nil && state.Control.Joined && state.Control.Self.Incarnation != before[p.VM]
 		}, waitLimit, pollEvery, p.VM)
 	}
--- a/test/process/scale_test.go
+++ b/test/process/scale_test.go
@@ -17,17 +17,18 @@
 	"github.com/limpetdock/limpetdock/standin/deploy"
 )
 
-// sized gives Cesta Viva's zones with a number of nodes, up to a few in each zone.
-func sized(nodes int) fleet.Fleet {
+// fleetOfSize returns a fleet in the zones of Cesta Viva with about the given number
+// of nodes, spread evenly over zones and services.
+func fleetOfSize(nodes int) fleet.Fleet {
 	f := deployments.CestaViva(1)
 	services := min(len(f.Services), max(1, nodes/len(f.Zones)))
 	f.Services = f.Services[:services]
 	perZone := nodes / len(f.Zones) / services
 	for i := range f.Services {
 		s := &f.Services[i]
-		first := s.Targets
+		originals := s.Targets
 		for copyNo := 1; copyNo < perZone; copyNo++ {
-			for _, t := range first {
+			for _, t := range originals {
 				t.VM = fmt.Sprintf("%s-%d", t.VM, copyNo)
 				s.Targets = append(s.Targets, t)
 			}
@@ -36,8 +37,8 @@
 	return f
 }
 
-// counter reads a counter of a node.
-func counter(b testing.TB, p deploy.Place, name string) float64 {
+// readCounter returns the value of a counter in a node's metrics.
+func readCounter(b testing.TB, p deploy.Place, name string) float64 {
 	resp, err := http.Get("http://" + p.Admin() + "/metrics")
 	require.NoError(b, err)
 	defer func() { _ = resp.Body.Close() }()
@@ -52,8 +53,8 @@
 	return 0
 }
 
-// BenchmarkControl measures what control costs with real processes: calls of
-// the platform, and bytes and processor time of each node, at three sizes.
+// BenchmarkControl measures the overhead of the control plane with real processes,
+// at three sizes: platform calls, and bytes sent and processor time for each node.
 func BenchmarkControl(b *testing.B) {
 	const settle, length = 5 * time.Second, 20 * time.Second
 	for _, nodes := range []int{6, 18, 36} {
@@ -61,7 +62,7 @@
 			octet, release, err := deploy.FreeNet()
 			require.NoError(b, err)
 			defer release()
-			d, err := deploy.New(deploy.Options{Bin: bin, Out: filepath.Join(b.TempDir(), "out"), Net: octet, Fleet: sized(nodes), ServiceMs: 1})
+			d, err := deploy.New(deploy.Options{Bin: bin, Out: filepath.Join(b.TempDir(), "out"), Net: octet, Fleet: fleetOfSize(nodes), ServiceMs: 1})
 			require.NoError(b, err)
 			defer d.Stop()
 			require.NoError(b, d.Start(b.Context()))
@@ -74,8 +75,8 @@
 					calls += float64(n)
 				}
 				for _, p := range d.Places {
-					bytes += counter(b, p, "limpetdock_control_sent_bytes_total")
-					seconds += counter(b, p, "process_cpu_seconds_total")
+					bytes += readCounter(b, p, "limpetdock_control_sent_bytes_total")
+					seconds += readCounter(b, p, "process_cpu_seconds_total")
 				}
 				return calls, bytes, seconds
 			}
--- a/test/process/tool_test.go
+++ b/test/process/tool_test.go
@@ -16,8 +16,8 @@
 	"github.com/limpetdock/limpetdock/internal/cli"
 )
 
-// tool runs the operators' tool as a process.
-func tool(t *testing.T, stdin string, args ...string) (code int, out string) {
+// runTool runs the operators' tool as a process and returns its exit code and output.
+func runTool(t *testing.T, stdin string, args ...string) (code int, out string) {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), filepath.Join(bin, "limpetdock"), args...)
 	cmd.Stdin = strings.NewReader(stdin)
@@ -31,20 +31,21 @@
 	return cmd.ProcessState.ExitCode(), stdout.String() + stderr.String()
 }
 
-func TestTheToolAgainstADeployment(t *testing.T) {
-	_, d := start(t)
+// Runs the commands of the operators' tool on a running deployment.
+func TestOperatorToolOnRunningDeployment(t *testing.T) {
+	_, d := startDeployment(t)
 	node := d.Places[0].Admin()
 	table := filepath.Join(filepath.Dir(filepath.Dir(d.Ledger("x"))), "nodes.tsv")
 
-	code, out := tool(t, "", "status", "--json", "--nodes", table)
+	code, out := runTool(t, "", "status", "--json", "--nodes", table)
 	require.Equal(t, cli.ExitOK, code, out)
 	var report cli.Report
 	require.NoError(t, json.Unmarshal([]byte(out), &report))
 	require.Equal(t, map[uint64]int{1: len(d.Places)}, report.Revisions)
 
-	code, stream := tool(t, "", "config", "print", node)
-	require.Equal(t, cli.ExitOK, code, stream)
-	code, out = tool(t, stream, "config", "check", "-", node)
+	code, config := runTool(t, "", "config", "print", node)
+	require.Equal(t, cli.ExitOK, code, config)
+	code, out = runTool(t, config, "config", "check", "-", node)
 	require.Equal(t, cli.ExitOK, code, out)
 
 	for _, args := range [][]string{
@@ -53,12 +54,12 @@
 		{"explain", "--method", "POST", node, "orders/orders/confirm"},
 		{"settings", "check", filepath.Join(filepath.Dir(table), "settings", d.Places[0].VM+".ini")},
 	} {
-		code, out := tool(t, "", args...)
+		code, out := runTool(t, "", args...)
 		require.Equal(t, cli.ExitOK, code, "%v: %s", args, out)
 		require.Contains(t, out, "rs-a", args)
 	}
 
-	// What an operator is about to publish is compared with what is in force.
+	// The diff compares a configuration that is not yet published with the one in force.
 	next := d.Fleet()
 	next.Revision++
 	for i := range next.Services {
@@ -71,15 +72,15 @@
 	require.NoError(t, err)
 	dir := t.TempDir()
 	require.NoError(t, pub.WriteDir(dir))
-	code, out = tool(t, "", "config", "diff", node, dir)
+	code, out = runTool(t, "", "config", "diff", node, dir)
 	require.Equal(t, cli.ExitFound, code, out)
 	require.Contains(t, out, "/orders/* goes from at most once to idempotent")
 
-	// A node that is down is found.
-	first := d.Node(d.Places[0].VM)
-	first.End(os.Kill)
-	first.Wait(time.Minute)
-	code, out = tool(t, "", "status", "--nodes", table)
+	// The status command reports a node that is down.
+	stopped := d.Node(d.Places[0].VM)
+	stopped.End(os.Kill)
+	stopped.Wait(time.Minute)
+	code, out = runTool(t, "", "status", "--nodes", table)
 	require.Equal(t, cli.ExitFound, code, out)
 	require.Contains(t, out, "can't be asked")
 }
