--- a/test/matrix/matrix_test.go
+++ b/test/matrix/matrix_test.go
@@ -1,5 +1,5 @@
-// Package matrix_test runs the fault matrix: each fault at each step of a
-// request, with real processes.
+// Package matrix_test runs the fault matrix with real processes: every fault is
+// injected at every step of a request.
 package matrix_test
 
 import (
@@ -15,11 +15,12 @@
 )
 
 var (
-	write = flag.String("matrix.write", "", "file for the table")
-	pairs = flag.Bool("matrix.pairs", false, "run pairs of faults as well")
+	tablePath = flag.String("matrix.write", "", "file to write the table to")
+	runPairs  = flag.Bool("matrix.pairs", false, "also run pairs of simultaneous faults")
 )
 
-func start(t *testing.T) *matrix.Runner {
+// newRunner starts a deployment that stops when the test ends, and returns a runner for it.
+func newRunner(t *testing.T) *matrix.Runner {
 	t.Helper()
 	bin := t.TempDir()
 	require.NoError(t, deploy.Build(bin))
@@ -36,40 +37,41 @@
 	return matrix.NewRunner(d)
 }
 
-// A caller's request is at some step when something breaks. Whatever the step
-// and the fault, its answer is its own or visibly none, "not run" is true, and an
-// at-most-once request runs at most once.
+// Every fault is injected at every step of a caller's request. The caller must get
+// the complete answer to its own request or a visible failure, a request answered
+// "not run" must not have run, and an at-most-once request must run at most once.
 func TestEachFaultAtEachStep(t *testing.T) {
-	r := start(t)
+	r := newRunner(t)
 	verdicts, err := r.Run(t.Context(), matrix.Cells())
 	require.NoError(t, err)
-	report(t, verdicts)
-	if *write != "" {
-		require.NoError(t, os.WriteFile(*write, []byte(matrix.Markdown(verdicts)), 0o644))
+	reportVerdicts(t, verdicts)
+	if *tablePath != "" {
+		require.NoError(t, os.WriteFile(*tablePath, []byte(matrix.Markdown(verdicts)), 0o644))
 	}
 }
 
-// Two things break at once.
+// Two faults occur at the same step of a request.
 func TestPairsOfFaults(t *testing.T) {
-	if !*pairs {
-		t.Skip("only with -matrix.pairs: it takes some minutes")
+	if !*runPairs {
+		t.Skip("runs for several minutes; enable with -matrix.pairs")
 	}
-	r := start(t)
+	r := newRunner(t)
 	verdicts, err := r.Run(t.Context(), matrix.Pairs())
 	require.NoError(t, err)
-	report(t, verdicts)
+	reportVerdicts(t, verdicts)
 }
 
-func report(t *testing.T, verdicts []matrix.Verdict) {
+// reportVerdicts fails the test for each broken guarantee and logs how many cells ran.
+func reportVerdicts(t *testing.T, verdicts []matrix.Verdict) {
 	t.Helper()
 	ran := 0
 	for _, v := range verdicts {
 		if v.Skipped == "" {
 			ran++
 		}
-		for _, b := range v.Broken {
-			t.Errorf("%s: %s", v.Cell, b)
+		for _, broken := range v.Broken {
+			t.Errorf("%s: %s", v.Cell, broken)
 		}
 	}
-	t.Logf("%d cells ran, %d don't apply", ran, len(verdicts)-ran)
+	t.Logf("%d cells ran, %d not applicable", ran, len(verdicts)-ran)
 }
