--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 COMMIT = $(shell git describe --always --dirty)
 DEMO_ARGS := $(if $(CHECK),--check)
 
-.PHONY: matrix chaos soak build tools test lint demo clean experiments comparisons added-latency capacity
+.PHONY: matrix chaos soak build tools gopls test lint demo clean experiments comparisons added-latency capacity
 
 build:
 	go build -o $(BIN)/ ./cmd/...
@@ -17,6 +17,12 @@
 tools:
 	cd tools && go build -o ../$(TOOLS)/ mvdan.cc/gofumpt honnef.co/go/tools/cmd/staticcheck
 
+# gopls renames identifiers over all packages and tests. It can't share the module of
+# the other tools, as it needs another version of golang.org/x/tools.
+GOPLS_VERSION := v0.22.0
+gopls:
+	GOBIN=$(CURDIR)/$(TOOLS) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 # Unit tests run with the race detector. The tests in test/ start whole deployments
 # of real processes; their programs are built as released, without it.
 test:
