--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -9,7 +9,7 @@
 
 // RetryDelay is the default delay after a failed accept. File descriptors are freed
 // when requests end, which takes some tens of milliseconds.
-const Pause = 20 * time.Millisecond
+const RetryDelay = 20 * time.Millisecond
 
 // Loop passes each accepted connection to take until l is closed; take must not
 // block. On any other accept error, such as a temporary lack of file descriptors, it
--- a/internal/admin/explain.go
+++ b/internal/admin/explain.go
@@ -77,7 +77,7 @@
 	if route != nil {
 		e.Route, e.Runs, e.Class, e.Hops = route.Name, route.Runs(), route.Class, s.HopsFor(route)
 	}
-	if after := s.HedgeAfter(); after > 0 && route != nil && route.Idempotent && s.HedgePercent > 0 {
+	if after := s.HedgeDelay(); after > 0 && route != nil && route.Idempotent && s.HedgePercent > 0 {
 		e.HedgeAfter = after.String()
 	}
 	e.Limits = limits(v, s, route)
@@ -85,7 +85,7 @@
 		e.Targets = append(e.Targets, stateOf(v, t, now))
 	}
 	e.Why = "no target has a known address: the answer would be no-target"
-	request := &pick.Ask{Draw: pick.Draw{Now: now, Rand: pick.SharedRand}}
+	request := &pick.Selection{Draw: pick.Draw{Now: now, Rand: pick.SharedRand}}
 	if chosen := s.Choose(request); chosen != nil {
 		e.Chosen = chosen.Place.VM
 		e.Why = selectionReason(v, s, chosen, now)
@@ -98,7 +98,7 @@
 	switch {
 	case chosen.Leaving:
 		reason += ", though it is said to leave, because every other does too; its node refuses if so"
-	case chosen.Stat.PassedOver(now):
+	case chosen.Stat.Excluded(now):
 		reason += ", though it is passed over for now, because nothing better is left"
 	case chosen.Region != v.Here.Region && anyUsable(s.Targets[:s.InRegion], now):
 		reason += ", because a part of the requests leaves the own region while that is slower than the way there"
@@ -110,7 +110,7 @@
 
 func anyUsable(targets []*pick.Target, now time.Duration) bool {
 	return slices.ContainsFunc(targets, func(t *pick.Target) bool {
-		return !t.Leaving && t.Guard != "" && !t.Stat.PassedOver(now)
+		return !t.Leaving && t.Guard != "" && !t.Stat.Excluded(now)
 	})
 }
 
--- a/internal/admin/state.go
+++ b/internal/admin/state.go
@@ -48,7 +48,7 @@
 	}
 	if v := a.node.View(); v != nil {
 		for _, s := range v.Services {
-			if after := s.HedgeAfter(); after > 0 && s.HedgePercent > 0 {
+			if after := s.HedgeDelay(); after > 0 && s.HedgePercent > 0 {
 				d.HedgeAfterMs[s.Name] = after.Seconds() * 1000
 			}
 			for _, t := range s.Targets {
@@ -209,7 +209,7 @@
 		s.State = StateLeaving
 	case t.Guard == "":
 		s.State = StateNoAddress
-	case t.Stat.PassedOver(now):
+	case t.Stat.Excluded(now):
 		s.State = StateAvoided
 	case t.Region != v.Here.Region:
 		s.State = StateFar
--- a/internal/attempt/attempt.go
+++ b/internal/attempt/attempt.go
@@ -20,7 +20,7 @@
 	// retention is how long a record is kept after its last change.
 	retention = 2 * Window
 	// TickInterval is the length of a guard's coarse tick.
-	TickEvery = 250 * time.Millisecond
+	TickInterval = 250 * time.Millisecond
 	// MaxAnswer is the largest answer that is stored, in bytes.
 	MaxAnswer = 64 << 10
 	// maxRecords bounds the table; when it is full no new attempt starts.
@@ -78,7 +78,7 @@
 }
 
 // Tick returns the guard's coarse tick at now.
-func Tick(now time.Duration) uint64 { return uint64(now / TickEvery) }
+func Tick(now time.Duration) uint64 { return uint64(now / TickInterval) }
 
 // Claim is a request to start an attempt.
 type Claim struct {
@@ -145,7 +145,7 @@
 	if c.Incarnation != t.incarnation || c.Tick > Tick(now) {
 		return Stale, 0
 	}
-	if age := now - time.Duration(c.Tick)*TickEvery; age > window(class) {
+	if age := now - time.Duration(c.Tick)*TickInterval; age > window(class) {
 		return classifyOld(class, age), 0
 	}
 	if class == Key {
@@ -215,7 +215,7 @@
 	t.sweep(now)
 	class := ClassOf(c.ID)
 	if c.Incarnation != t.incarnation && class != Exchange {
-		return wire.AttemptElsewhere
+		return wire.AttemptOtherIncarnation
 	}
 	if r := t.records[c.ID]; r != nil {
 		return r.state
@@ -235,7 +235,7 @@
 // absenceProves reports whether the absence of a record proves that no copy has run.
 // An entry that was frozen may ask so late that the record has been dropped.
 func (t *Table) absenceProves(c Claim, now time.Duration) bool {
-	age := now - time.Duration(c.Tick)*TickEvery
+	age := now - time.Duration(c.Tick)*TickInterval
 	switch ClassOf(c.ID) {
 	case Key:
 		return age <= keyWindow && t.keys.accepts(c.ID, now)
--- a/internal/attempt/attempt_test.go
+++ b/internal/attempt/attempt_test.go
@@ -72,7 +72,7 @@
 	v, _ := table.Begin(claim("x", 0), 0)
 	require.Equal(t, attempt.Known, v, "it doesn't run when its turn comes")
 	require.Equal(t, wire.AttemptAbsent, table.Seal(claim("y", 0), true, 0))
-	require.Equal(t, wire.AttemptElsewhere, table.Seal(attempt.Claim{ID: "x", Incarnation: 2}, false, 0))
+	require.Equal(t, wire.AttemptOtherIncarnation, table.Seal(attempt.Claim{ID: "x", Incarnation: 2}, false, 0))
 }
 
 func TestExchangeIsNeverSealed(t *testing.T) {
@@ -137,12 +137,12 @@
 
 func TestOnlySealBySameIncarnationIsProof(t *testing.T) {
 	for state, want := range map[wire.AttemptState]attempt.Step{
-		wire.AttemptSealed: attempt.Elsewhere, wire.AttemptRunning: attempt.Collect, wire.AttemptDone: attempt.Collect,
+		wire.AttemptSealed: attempt.RetryElsewhere, wire.AttemptRunning: attempt.Collect, wire.AttemptDone: attempt.Collect,
 		wire.AttemptLost: attempt.Collect, wire.AttemptWaiting: attempt.Wait, wire.AttemptAbsent: attempt.Unknown,
-		wire.AttemptElsewhere: attempt.Unknown,
+		wire.AttemptOtherIncarnation: attempt.Unknown,
 	} {
-		require.Equal(t, want, attempt.Next(&wire.Sealed{Incarnation: 1, State: state}, 1), state)
-		require.Equal(t, attempt.Unknown, attempt.Next(&wire.Sealed{Incarnation: 2, State: state}, 1), state)
+		require.Equal(t, want, attempt.NextStep(&wire.Sealed{Incarnation: 1, State: state}, 1), state)
+		require.Equal(t, attempt.Unknown, attempt.NextStep(&wire.Sealed{Incarnation: 2, State: state}, 1), state)
 	}
 }
 
--- a/internal/attempt/fate.go
+++ b/internal/attempt/fate.go
@@ -13,20 +13,20 @@
 	// Collect means that it runs or ran: wait for its answer and collect it.
 	Collect
 	// RetryElsewhere means proof that it did not run and never will.
-	Elsewhere
+	RetryElsewhere
 	// Unknown means that there is no proof and none can be obtained.
 	Unknown
 )
 
 // NextStep returns the step after a guard's reply about an attempt that was sent to an
 // incarnation. Only a seal by that same incarnation proves that it did not run.
-func Next(reply *wire.Sealed, incarnation uint64) Step {
+func NextStep(reply *wire.Sealed, incarnation uint64) Step {
 	if reply.Incarnation != incarnation {
 		return Unknown
 	}
 	switch reply.State {
 	case wire.AttemptSealed:
-		return Elsewhere
+		return RetryElsewhere
 	case wire.AttemptRunning, wire.AttemptDone, wire.AttemptLost:
 		return Collect
 	case wire.AttemptWaiting:
--- a/internal/attempt/handover.go
+++ b/internal/attempt/handover.go
@@ -109,7 +109,7 @@
 	k.sealed = true
 	out := &KeyTable{Head: wire.KeysHead{
 		Incarnation: t.incarnation, Service: k.current.Service, LifetimeMs: k.current.Lifetime.Milliseconds(),
-		ReachMs: ageMs(now, k.horizon), Targets: k.current.Targets,
+		HistoryMs: ageMs(now, k.horizon), Targets: k.current.Targets,
 	}}
 	for _, e := range k.past {
 		out.Head.Past = append(out.Head.Past, wire.KeysEpoch{Targets: e.targets, AgoMs: ageMs(now, e.until)})
@@ -215,7 +215,7 @@
 // adopt replaces the history of this process by its predecessor's. A recent listing of
 // the predecessor's address is no sign of a third process.
 func (k *keyRules) adopt(h *wire.KeysHead, now time.Duration) {
-	k.horizon = now - ms(h.ReachMs)
+	k.horizon = now - ms(h.HistoryMs)
 	k.hasOtherAddr = false
 	k.restored = true
 	k.confirmedAt = k.listedAt
@@ -225,8 +225,8 @@
 type KeyState struct {
 	// Restored is true if the predecessor's table was restored, HandedOver if this
 	// process's table was sealed for its successor.
-	Taken  bool `json:"taken"`
-	Handed bool `json:"handed"`
+	Restored   bool `json:"taken"`
+	HandedOver bool `json:"handed"`
 	// Wait is how long until keys are accepted, by the age of the table alone.
 	Wait time.Duration `json:"wait_ns"`
 }
@@ -234,7 +234,7 @@
 // KeyState returns the state of the home.
 func (t *Table) KeyState(now time.Duration) KeyState {
 	k := &t.keys
-	return KeyState{Taken: k.restored, Handed: k.sealed, Wait: max(0, k.horizon+k.retention()-now)}
+	return KeyState{Restored: k.restored, HandedOver: k.sealed, Wait: max(0, k.horizon+k.retention()-now)}
 }
 
 func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/attempt/handover_model_test.go
+++ b/internal/attempt/handover_model_test.go
@@ -24,7 +24,7 @@
 // transfer is a successor's request to a keeper, with the answer that is on its way.
 type transfer struct {
 	to       *process
-	received *handover.Take
+	received *handover.Transfer
 	part     *wire.KeysPart
 }
 
@@ -82,8 +82,8 @@
 	if p == nil || p.dead || !p.table.NeedsKeys(w.at(p)) {
 		return
 	}
-	t := &transfer{to: p, received: handover.NewTake(w.moment())}
-	t.part = w.keepers[keeperIndex(second)].Give(&wire.KeysAsk{
+	t := &transfer{to: p, received: handover.NewTransfer(w.moment())}
+	t.part = w.keepers[keeperIndex(second)].ServePart(&wire.KeysRequest{
 		Format: wire.KeysFormat, VM: p.vm, Incarnation: p.incarnation,
 	}, 0, w.moment())
 	w.transfers = append(w.transfers, t)
--- a/internal/attempt/id.go
+++ b/internal/attempt/id.go
@@ -8,7 +8,7 @@
 // The classes of ids.
 const (
 	// SingleAttempt is one attempt of an entry, sent once and known to no other sender.
-	Try Class = iota
+	SingleAttempt Class = iota
 	// Ticket was issued to a caller, who may send it again through any node.
 	Ticket
 	// Key is a caller's own idempotency key, at its home.
@@ -43,5 +43,5 @@
 	case strings.HasPrefix(id, exchangePrefix):
 		return Exchange
 	}
-	return Try
+	return SingleAttempt
 }
--- a/internal/attempt/keys.go
+++ b/internal/attempt/keys.go
@@ -13,12 +13,12 @@
 const (
 	// MaxKeyPause is how long a node may have been paused with the copy in its socket's
 	// buffer; after a longer pause it refuses such copies.
-	KeyPause = 5 * time.Second
+	MaxKeyPause = 5 * time.Second
 	// MaxKeyDelay is how long after its arrival a node may send it to the home.
-	KeyDelay = 5 * time.Second
+	MaxKeyDelay = 5 * time.Second
 	// keyWindow is how old the home's tick may be in it.
 	keyWindow = 5 * time.Second
-	keySlack  = KeyPause + KeyDelay + keyWindow
+	keySlack  = MaxKeyPause + MaxKeyDelay + keyWindow
 	// minLifetime is the shortest lifetime used in these calculations: a confirmation by
 	// the platform must last longer than the interval between two of them.
 	minLifetime = 30 * time.Second
--- a/internal/attempt/keys_test.go
+++ b/internal/attempt/keys_test.go
@@ -26,7 +26,7 @@
 
 const (
 	// keyRetention is how long a key's record is kept.
-	keyRetention = lifetime + 3*attempt.KeyDelay
+	keyRetention = lifetime + 3*attempt.MaxKeyDelay
 	// startDelay is how long a new process waits: twice the retention, because its
 	// predecessor may have accepted keys for one retention after its start.
 	startDelay = 2 * keyRetention
@@ -60,9 +60,9 @@
 		}, attempt.Start, 0},
 		{"a copy may be delayed on its way: a lifetime alone isn't enough", func(t *attempt.Table) time.Duration {
 			startListed(t, rules("ip", "a", "b", "c"))
-			t.Confirm("ip", startDelay-3*attempt.KeyDelay)
-			return startDelay - 3*attempt.KeyDelay
-		}, attempt.TooEarly, 3 * attempt.KeyDelay},
+			t.Confirm("ip", startDelay-3*attempt.MaxKeyDelay)
+			return startDelay - 3*attempt.MaxKeyDelay
+		}, attempt.TooEarly, 3 * attempt.MaxKeyDelay},
 		{"the home was another target until a minute ago", func(t *attempt.Table) time.Duration {
 			startListed(t, rules("ip", "b", "c"))
 			t.SetKeys(rules("ip", "a", "b", "c"), 2*keyRetention)
--- a/internal/attempt/model_test.go
+++ b/internal/attempt/model_test.go
@@ -156,14 +156,14 @@
 	m := &message{op: p, entry: entry, arrived: arrived, lifetime: w.lifetimes[entry]}
 	var id string
 	switch p.class {
-	case attempt.Try:
+	case attempt.SingleAttempt:
 		w.serial++
 		id = fmt.Sprint("try", w.serial)
 	case attempt.Ticket:
 		vm, id = p.ticketFor.vm, attempt.TicketID(p.id)
 	case attempt.Key:
 		vm, id = attempt.Home("s", p.id, w.declared[entry]), attempt.KeyID(p.id)
-		if w.now-arrived > attempt.KeyDelay {
+		if w.now-arrived > attempt.MaxKeyDelay {
 			return
 		}
 	}
@@ -221,7 +221,7 @@
 
 // refuse models a guard without capacity, before anything is recorded.
 func (w *world) refuse(m *message, lost bool) {
-	if m.op.class != attempt.Try {
+	if m.op.class != attempt.SingleAttempt {
 		if m.to.table.Seal(m.claim, false, w.at(m.to)) != wire.AttemptSealed {
 			return
 		}
@@ -236,7 +236,7 @@
 // notRun records the proof that one copy did not run. A plain request may then be sent
 // to another target.
 func (w *world) notRun(m *message) {
-	if m.op.class == attempt.Try && w.serial%2 == 0 && m.op.runs == 0 {
+	if m.op.class == attempt.SingleAttempt && w.serial%2 == 0 && m.op.runs == 0 {
 		w.submit(m.op, m.entry, m.arrived, w.declared[m.entry][int(w.serial/2)%len(w.declared[m.entry])])
 		return
 	}
@@ -260,7 +260,7 @@
 	}
 	state := at.table.Seal(m.claim, false, w.at(at))
 	reply := &wire.Sealed{Incarnation: at.incarnation, State: state}
-	if attempt.Next(reply, m.claim.Incarnation) == attempt.Elsewhere {
+	if attempt.NextStep(reply, m.claim.Incarnation) == attempt.RetryElsewhere {
 		w.notRun(m)
 	}
 }
@@ -277,7 +277,7 @@
 }
 
 var pauses = []time.Duration{
-	100 * time.Millisecond, time.Second, attempt.KeyDelay, attempt.Window / 2, attempt.Window, 2 * attempt.Window,
+	100 * time.Millisecond, time.Second, attempt.MaxKeyDelay, attempt.Window / 2, attempt.Window, 2 * attempt.Window,
 	attempt.TicketWindow, lifetime / 2, lifetime, keyRetention,
 }
 
@@ -360,7 +360,7 @@
 // copy models a caller that sends again while its key is valid, by the lifetime known
 // to the entry.
 func (w *world) copy(p *operation, entry int) {
-	if p == nil || p.class == attempt.Try || p.class == attempt.Key && w.now-p.first > w.lifetimes[entry] {
+	if p == nil || p.class == attempt.SingleAttempt || p.class == attempt.Key && w.now-p.first > w.lifetimes[entry] {
 		return
 	}
 	w.submit(p, entry, w.now, "")
--- a/internal/budget/chain.go
+++ b/internal/budget/chain.go
@@ -25,7 +25,7 @@
 }
 
 // Unused reports whether no call of the chain has been retried so far.
-func (c Chain) Fresh() bool { return c == ChainRetries }
+func (c Chain) Unused() bool { return c == ChainRetries }
 
 // String returns the header value.
 func (c Chain) String() string { return strconv.Itoa(int(c)) }
--- a/internal/budget/hedge.go
+++ b/internal/budget/hedge.go
@@ -61,7 +61,7 @@
 
 // RecordAttempt records whether a target refused an attempt because it is full.
 // While many do, copies would take slots from requests that have none.
-func (r *Retry) Offered(refused bool) {
+func (r *Retry) RecordAttempt(refused bool) {
 	old := r.hedges.refused.Load()
 	if old == 0 && !refused {
 		return
--- a/internal/budget/hedge_test.go
+++ b/internal/budget/hedge_test.go
@@ -43,11 +43,11 @@
 	r := NewRetry(10)
 	r.SetHedgePercent(5)
 	for i := range 100 {
-		r.Offered(i%4 == 0)
+		r.RecordAttempt(i%4 == 0)
 	}
 	require.False(t, r.Hedge(), "a quarter of attempts is refused")
 	for range 100 {
-		r.Offered(false)
+		r.RecordAttempt(false)
 	}
 	require.True(t, r.Hedge(), "the overload has ended")
 }
@@ -59,11 +59,11 @@
 		c.reached++
 		return
 	}
-	if remaining.Fresh() {
+	if remaining.Unused() {
 		c.budgets[level].Request()
 	}
 	c.hedged(level+1, remaining)
-	if !c.bounded || remaining.Fresh() && c.budgets[level].Hedge() {
+	if !c.bounded || remaining.Unused() && c.budgets[level].Hedge() {
 		c.hedged(level+1, max(remaining-1, 0))
 	}
 }
--- a/internal/budget/retry_test.go
+++ b/internal/budget/retry_test.go
@@ -58,7 +58,7 @@
 		c.reached++
 		return
 	}
-	if remaining.Fresh() {
+	if remaining.Unused() {
 		c.budgets[level].Request()
 	}
 	const maxAttempts = 3
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -23,7 +23,7 @@
 	ExitUsage = 2
 	// ExitFindings means that the command succeeded and printed findings that need
 	// attention.
-	ExitFound = 3
+	ExitFindings = 3
 )
 
 var errNoCommand = eris.New("a command is needed; see limpetdock --help")
@@ -76,7 +76,7 @@
 	case err == nil:
 		return ExitOK
 	case errors.Is(err, errFindings):
-		return ExitFound
+		return ExitFindings
 	case errors.As(err, &usage):
 		return printError(errOut, err, ExitUsage)
 	}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -202,10 +202,10 @@
 	cargo := &after.Services[1]
 	cargo.Routes[2].Idempotent = true
 	code, out, _ = runTool("config", "diff", before, writeDocuments(t, after))
-	require.Equal(t, ExitFound, code)
+	require.Equal(t, ExitFindings, code)
 	require.Contains(t, out, "/bookings/* goes from at most once to idempotent: requests may be repeated")
 	code, out, _ = runTool("config", "diff", "--json", before, writeDocuments(t, after))
-	require.Equal(t, ExitFound, code)
+	require.Equal(t, ExitFindings, code)
 	var changes []diff.Change
 	require.NoError(t, json.Unmarshal([]byte(out), &changes))
 	require.Equal(t, diff.Warning, changes[1].Level)
@@ -230,7 +230,7 @@
 	stale := nodeStatus("orders-3", 5, "bb")
 	stale.Serving, stale.Refused = false, "revision 7: not INI"
 	code, out, _ = runTool("status", a, serve(stale), unusedAddress(t))
-	require.Equal(t, ExitFound, code)
+	require.Equal(t, ExitFindings, code)
 	for _, want := range []string{
 		"2 configurations are in force, 2 revisions apart", "orders-3 doesn't serve",
 		"orders-3 refused a configuration: revision 7: not INI", "can't be asked",
--- a/internal/cli/dump.go
+++ b/internal/cli/dump.go
@@ -74,7 +74,7 @@
 			listed = string(vm.State)
 		}
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%x\t%s ago\t%d\n", name, listed, memberStateName(m.State), m.Incarnation,
-			m.HeardAgo.Round(time.Millisecond), m.Failures)
+			m.LastSeenAgo.Round(time.Millisecond), m.Failures)
 	}
 }
 
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -97,7 +97,7 @@
 	switch {
 	case r.All.Outcomes[load.OK] == 0:
 		return eris.New("no call was answered by a backend server")
-	case !r.Kept():
+	case !r.ScheduleKept():
 		return eris.Errorf("the schedule wasn't kept: %d of %d calls began late; use a lower rate or more --workers", r.Late, r.All.Calls)
 	}
 	return nil
--- a/internal/control/handover.go
+++ b/internal/control/handover.go
@@ -59,7 +59,7 @@
 
 func (l *Loop) handKeys(ctx context.Context) bool {
 	l.confirmListing(ctx)
-	bytes, hold, ok := l.guard.KeysToHand()
+	bytes, hold, ok := l.guard.HandoverSize()
 	if !ok || bytes+growthMargin > handover.MaxBytes {
 		return false
 	}
@@ -98,7 +98,7 @@
 	l.Ask(func(s *core.State) { self = s.VM() })
 	for _, vm := range list.VMs {
 		if vm.Name == self {
-			l.guard.Listed(vm.IP, asked)
+			l.guard.ConfirmListed(vm.IP, asked)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	if kept, ok := reply.(*wire.KeysKept); !ok || !kept.OK {
+	if kept, ok := reply.(*wire.KeysAck); !ok || !kept.OK {
 		return errPartRefused
 	}
 	l.keys.Bytes.Add(uint64(len(parts[i])))
@@ -158,7 +158,7 @@
 		var peers []core.Peer
 		l.Ask(func(s *core.State) { peers = s.Keepers() })
 		for _, p := range peers {
-			if !l.guard.WantsKeys() {
+			if !l.guard.NeedsKeys() {
 				return
 			}
 			if done := l.takeFrom(p); done {
@@ -176,11 +176,11 @@
 // takeFrom fetches the table from one peer. done is true if no other peer needs to be
 // asked, because the table was received or is lost.
 func (l *Loop) takeFrom(p core.Peer) (done bool) {
-	take := handover.NewTake(l.moment())
+	take := handover.NewTransfer(l.moment())
 	for more := true; more; {
-		var request wire.KeysAsk
+		var request wire.KeysRequest
 		l.Ask(func(s *core.State) {
-			request = wire.KeysAsk{Format: wire.KeysFormat, VM: s.VM(), Incarnation: s.Incarnation(), Seq: take.Next()}
+			request = wire.KeysRequest{Format: wire.KeysFormat, VM: s.VM(), Incarnation: s.Incarnation(), Seq: take.Next()}
 		})
 		reply, err := l.exchange(l.ctx, p.Addr, &request)
 		part, ok := reply.(*wire.KeysPart)
@@ -192,7 +192,7 @@
 		}
 	}
 	table, err := take.Table(l.moment())
-	if err != nil || !l.guard.TakeKeys(table) {
+	if err != nil || !l.guard.RestoreKeys(table) {
 		l.keys.NotTaken.Add(1)
 		return true
 	}
@@ -211,7 +211,7 @@
 			reply = s.OfferKeys(from, m, now)
 		case *wire.KeysPart:
 			reply = s.StoreKeys(from, m, now)
-		case *wire.KeysAsk:
+		case *wire.KeysRequest:
 			reply = s.ServeKeys(from, m, now)
 		}
 	})
--- a/internal/control/io.go
+++ b/internal/control/io.go
@@ -103,7 +103,7 @@
 		l.submit(core.GossipFailed{VM: c.VM})
 		return
 	}
-	l.guard.Heard(message.Members)
+	l.guard.HandleMembers(message.Members)
 	l.submit(core.GossipReceived{Message: message, Addr: c.Addr, Prompt: l.now()-start <= 2*peerTimeout})
 }
 
@@ -124,7 +124,7 @@
 func (l *Loop) Answer(from string, m wire.Message) wire.Message {
 	switch m := m.(type) {
 	case *wire.Gossip:
-		l.guard.Heard(m.Members)
+		l.guard.HandleMembers(m.Members)
 		l.submit(core.GossipReceived{Message: m})
 		var message *wire.Gossip
 		l.Ask(func(s *core.State) { message = s.GossipMessage() })
@@ -141,13 +141,13 @@
 		l.Ask(func(s *core.State) { list = s.VMs() })
 		return toWire(list)
 	case *wire.Probe:
-		if load := l.guard.Probed(from); load != nil {
+		if load := l.guard.AnswerProbe(from); load != nil {
 			return load
 		}
 		return nil
 	case *wire.Seal:
 		return l.guard.Seal(m)
-	case *wire.KeysOffer, *wire.KeysPart, *wire.KeysAsk:
+	case *wire.KeysOffer, *wire.KeysPart, *wire.KeysRequest:
 		return l.answerKeys(from, m)
 	}
 	return nil
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -38,17 +38,17 @@
 	SetView(v *pick.View)
 	Seal(m *wire.Seal) *wire.Sealed
 	// Probed returns the reply to a peer's probe, or nil if the budget is exceeded.
-	Probed(from string) *wire.Load
+	AnswerProbe(from string) *wire.Load
 	// Listed reports the address of the own VM in the platform's list, and Heard the
 	// member updates received from a peer.
-	Listed(addr string, at time.Duration)
-	Heard(updates []wire.Member)
+	ConfirmListed(addr string, at time.Duration)
+	HandleMembers(updates []wire.Member)
 	// KeysToHand, SealKeys, WantsKeys and TakeKeys transfer the key table from one
 	// process of a VM to the next.
-	KeysToHand() (bytes int, hold time.Duration, ok bool)
+	HandoverSize() (bytes int, hold time.Duration, ok bool)
 	SealKeys() (*attempt.KeyTable, bool)
-	WantsKeys() bool
-	TakeKeys(t *attempt.KeyTable) bool
+	NeedsKeys() bool
+	RestoreKeys(t *attempt.KeyTable) bool
 }
 
 // Entry is the part of the node's entry that the loop uses.
@@ -181,9 +181,9 @@
 		l.counters.Store(&counters)
 		l.entry.Beat()
 		if addr, at, ok := l.state.Listed(); ok {
-			l.guard.Listed(addr, at)
+			l.guard.ConfirmListed(addr, at)
 		}
-		if !l.keysRequested && l.guard.WantsKeys() {
+		if !l.keysRequested && l.guard.NeedsKeys() {
 			l.keysRequested = true
 			l.wg.Go(l.takeKeys)
 		}
--- a/internal/control/loop_test.go
+++ b/internal/control/loop_test.go
@@ -51,15 +51,15 @@
 func (*stubNode) SetView(*pick.View)           {}
 func (*stubNode) Seal(*wire.Seal) *wire.Sealed { return &wire.Sealed{} }
 
-func (*stubNode) Probed(string) *wire.Load     { return nil }
-func (*stubNode) Listed(string, time.Duration) {}
-func (*stubNode) Heard([]wire.Member)          {}
-func (*stubNode) Beat()                        {}
-
-func (*stubNode) KeysToHand() (int, time.Duration, bool) { return 0, 0, false }
-func (*stubNode) SealKeys() (*attempt.KeyTable, bool)    { return nil, false }
-func (*stubNode) WantsKeys() bool                        { return false }
-func (*stubNode) TakeKeys(*attempt.KeyTable) bool        { return false }
+func (*stubNode) AnswerProbe(string) *wire.Load       { return nil }
+func (*stubNode) ConfirmListed(string, time.Duration) {}
+func (*stubNode) HandleMembers([]wire.Member)         {}
+func (*stubNode) Beat()                               {}
+
+func (*stubNode) HandoverSize() (int, time.Duration, bool) { return 0, 0, false }
+func (*stubNode) SealKeys() (*attempt.KeyTable, bool)      { return nil, false }
+func (*stubNode) NeedsKeys() bool                          { return false }
+func (*stubNode) RestoreKeys(*attempt.KeyTable) bool       { return false }
 
 func newLoop(p platform.Client, g *stubNode) *control.Loop {
 	start := time.Now()
--- a/internal/core/dump.go
+++ b/internal/core/dump.go
@@ -21,7 +21,7 @@
 	Counters Counters              `json:"counters"`
 	Suspects []wire.Suspect        `json:"suspects"`
 	// KeyTables are the key tables stored for stopped peers.
-	KeyTables map[string]handover.Held `json:"key_tables"`
+	KeyTables map[string]handover.TableInfo `json:"key_tables"`
 }
 
 // ConfigDump describes the configuration in force, those being fetched, and those
@@ -66,7 +66,7 @@
 	Incarnation uint64           `json:"incarnation"`
 	State       wire.MemberState `json:"state"`
 	Tick        uint64           `json:"tick"`
-	HeardAgo    time.Duration    `json:"heard_ago_ns"`
+	LastSeenAgo time.Duration    `json:"heard_ago_ns"`
 	Failures    int              `json:"failures"`
 	Suspected   bool             `json:"suspected"`
 }
@@ -77,7 +77,7 @@
 		Self: s.self, Joined: s.joined, Leaving: s.Leaving(), Config: s.dumpConfig(now),
 		VMs:     VMsDump{s.vms.version, maps.Clone(s.vms.rows)},
 		Members: map[string]MemberDump{}, Counters: s.Counters(),
-		Suspects: s.suspects.Dump(now), KeyTables: s.keeper.Held(),
+		Suspects: s.suspects.Dump(now), KeyTables: s.keeper.Tables(),
 	}
 	for name, m := range s.members.rows {
 		d.Members[name] = MemberDump{
--- a/internal/core/gossip.go
+++ b/internal/core/gossip.go
@@ -205,7 +205,7 @@
 	v := s.config.version()
 	g := &wire.Gossip{From: s.self.VM, Revision: v.Revision, Digest: v.Digest, Serving: s.joined, VMs: s.vms.version, VMsAge: s.vms.age(s.now)}
 	g.Members = append(g.Members, s.selfUpdate())
-	g.Suspects = s.suspects.News(suspectsPerGossip, s.now)
+	g.Suspects = s.suspects.NextBatch(suspectsPerGossip, s.now)
 	names := s.members.names
 	for _, name := range s.urgentMembers(urgentMembersPerGossip - len(g.Members)) {
 		s.members.rows[name].urgentSends--
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -72,16 +72,16 @@
 }
 
 // StoreKeys stores a part of a stopping peer's key table.
-func (s *State) StoreKeys(from string, m *wire.KeysPart, now handover.Moment) *wire.KeysKept {
+func (s *State) StoreKeys(from string, m *wire.KeysPart, now handover.Moment) *wire.KeysAck {
 	return s.keeper.Put(from, m, now)
 }
 
 // ServeKeys returns a part of the predecessor's key table to a peer.
-func (s *State) ServeKeys(from string, m *wire.KeysAsk, now handover.Moment) *wire.KeysPart {
+func (s *State) ServeKeys(from string, m *wire.KeysRequest, now handover.Moment) *wire.KeysPart {
 	if from != m.VM {
 		return &wire.KeysPart{}
 	}
-	return s.keeper.Give(m, s.newestIncarnation(m.VM), now)
+	return s.keeper.ServePart(m, s.newestIncarnation(m.VM), now)
 }
 
 // newestIncarnation returns the newest known incarnation of a VM, or 0 if none is
--- a/internal/core/keeper_test.go
+++ b/internal/core/keeper_test.go
@@ -37,7 +37,7 @@
 	w.start(h)
 	w.until(time.Minute, "serves again", w.inForce(1))
 	require.Equal(t, before, h.state.Keepers())
-	request := &wire.KeysAsk{Format: wire.KeysFormat, VM: h.VM, Incarnation: h.Incarnation}
+	request := &wire.KeysRequest{Format: wire.KeysFormat, VM: h.VM, Incarnation: h.Incarnation}
 	require.Zero(t, keeper.state.ServeKeys("vm9", request, moment(w)).Parts)
 	require.EqualValues(t, 1, keeper.state.ServeKeys(h.VM, request, moment(w)).Parts)
 	require.Zero(t, keeper.state.ServeKeys(h.VM, request, moment(w)).Parts)
--- a/internal/core/member.go
+++ b/internal/core/member.go
@@ -65,7 +65,7 @@
 	}
 	old := m.update
 	m.update, m.lastSeen = update, now
-	s.stat(update.VM).Learn(pick.Identity{Incarnation: update.Incarnation, Tick: update.Tick})
+	s.stat(update.VM).UpdateIdentity(pick.Identity{Incarnation: update.Incarnation, Tick: update.Tick})
 	switch {
 	case old.Incarnation != update.Incarnation:
 		m.failures, m.seenByOthers = 0, false
--- a/internal/core/suspect.go
+++ b/internal/core/suspect.go
@@ -16,7 +16,7 @@
 }
 
 func (e DeathObserved) apply(s *State, now time.Duration, _ *commands) {
-	s.suspects.Died(e.Fingerprint, e.Death, now)
+	s.suspects.RecordDeath(e.Fingerprint, e.Death, now)
 }
 
 // SuspectCleared is a suspect request that completed.
--- a/internal/crowd/crowd.go
+++ b/internal/crowd/crowd.go
@@ -91,7 +91,7 @@
 
 // TrialLimit returns the number of requests, Limit or more, up to which some may be started to
 // measure higher concurrency: at most TrialLimit-Limit of them at a time.
-func (c *Curve) Trial() int {
+func (c *Curve) TrialLimit() int {
 	if c.lower > 0 {
 		return c.lower
 	}
@@ -100,7 +100,7 @@
 
 // ContentionFactor returns the ratio of service time to base service time of a request that is
 // started as the n-th concurrent one.
-func (c *Curve) Factor(n int) float64 {
+func (c *Curve) ContentionFactor(n int) float64 {
 	if len(c.levels) == 0 {
 		return 1
 	}
@@ -109,7 +109,7 @@
 
 // BaseServiceTime returns how long a request of a class takes without contention; 0 means
 // unknown.
-func (c *Curve) Work(name string) time.Duration {
+func (c *Curve) BaseServiceTime(name string) time.Duration {
 	cls := c.classes[name]
 	if cls == nil || cls.count == 0 {
 		return 0
@@ -124,17 +124,17 @@
 	// Level is how many requests ran when it was started, including itself.
 	Level int
 	// ServiceTime excludes slowdowns that have other causes than contention.
-	Took time.Duration
+	ServiceTime time.Duration
 	// ReportedBaseTime is the base service time of the class that other nodes report; 0 means
 	// unknown.
-	Told time.Duration
+	ReportedBaseTime time.Duration
 	// Aborted is true if the request was cut off, so that ServiceTime is only a lower bound.
-	AtLeast bool
+	Aborted bool
 }
 
 // Learn adds the sample of a request that was served or cut off.
 func (c *Curve) Learn(s Sample) {
-	if s.Level < 1 || s.Level > len(c.levels) || s.Took <= 0 {
+	if s.Level < 1 || s.Level > len(c.levels) || s.ServiceTime <= 0 {
 		return
 	}
 	cls := c.classes[s.Class]
@@ -142,11 +142,11 @@
 		cls = &class{name: s.Class}
 		c.classes[s.Class] = cls
 	}
-	if s.Told >= minBaseTime {
-		cls.reported = math.Log(float64(s.Told))
+	if s.ReportedBaseTime >= minBaseTime {
+		cls.reported = math.Log(float64(s.ReportedBaseTime))
 	}
-	logTime := math.Log(float64(s.Took))
-	if s.AtLeast && logTime < cls.expected()+c.levels[s.Level-1].fitted {
+	logTime := math.Log(float64(s.ServiceTime))
+	if s.Aborted && logTime < cls.expected()+c.levels[s.Level-1].fitted {
 		// A lower bound below the expected time carries no information.
 		return
 	}
--- a/internal/crowd/crowd_test.go
+++ b/internal/crowd/crowd_test.go
@@ -50,13 +50,13 @@
 func sample(rnd *rand.Rand, n int, factor float64) crowd.Sample {
 	i := rnd.IntN(len(baseTimes))
 	serviceTime := float64(baseTimes[i]) * factor * math.Exp(spread*rnd.NormFloat64())
-	return crowd.Sample{Class: strconv.Itoa(i), Level: n, Took: time.Duration(serviceTime)}
+	return crowd.Sample{Class: strconv.Itoa(i), Level: n, ServiceTime: time.Duration(serviceTime)}
 }
 
 // exactSample returns a request of one class at level n that takes exactly factor times the
 // reported base service time.
 func exactSample(n int, factor float64) crowd.Sample {
-	return crowd.Sample{Class: "a", Level: n, Took: time.Duration(factor * float64(baseTimes[1])), Told: baseTimes[1]}
+	return crowd.Sample{Class: "a", Level: n, ServiceTime: time.Duration(factor * float64(baseTimes[1])), ReportedBaseTime: baseTimes[1]}
 }
 
 // drive feeds the curve with requests at random levels up to what the curve allows, and
@@ -66,7 +66,7 @@
 	for range requests {
 		n := 1 + rnd.IntN(c.Limit())
 		if rnd.IntN(3) == 0 {
-			n = c.Limit() + rnd.IntN(c.Trial()-c.Limit()+1)
+			n = c.Limit() + rnd.IntN(c.TrialLimit()-c.Limit()+1)
 		}
 		reached += float64(c.Limit()) / s.factor(c.Limit())
 		c.Learn(sample(rnd, n, s.factor(n)))
@@ -153,12 +153,12 @@
 func TestLimitStartsLowAndRisesOneByOne(t *testing.T) {
 	c := crowd.New(12)
 	require.Equal(t, 8, c.Limit())
-	require.Equal(t, 9, c.Trial())
+	require.Equal(t, 9, c.TrialLimit())
 	for _, n := range []int{4, 8, 9} {
 		c.Learn(exactSample(n, 1))
 	}
 	require.Equal(t, 9, c.Limit())
-	require.Equal(t, 10, c.Trial())
+	require.Equal(t, 10, c.TrialLimit())
 	c.Learn(exactSample(10, 3))
 	require.Equal(t, 9, c.Limit(), "one slow request must keep the limit from rising further at once")
 	for range 12 {
@@ -170,13 +170,13 @@
 func TestInvalidSamplesAreIgnored(t *testing.T) {
 	c := crowd.New(3)
 	for _, serviceTime := range []time.Duration{0, -1} {
-		c.Learn(crowd.Sample{Class: "a", Level: 1, Took: serviceTime})
+		c.Learn(crowd.Sample{Class: "a", Level: 1, ServiceTime: serviceTime})
 	}
 	c.Learn(exactSample(0, 1))
 	c.Learn(exactSample(4, 1))
 	require.Equal(t, crowd.New(3).Limit(), c.Limit())
 	require.Zero(t, crowd.New(0).Limit())
-	require.InDelta(t, 1, crowd.New(0).Factor(2), 0)
+	require.InDelta(t, 1, crowd.New(0).ContentionFactor(2), 0)
 }
 
 // For any samples, the fitted curve must never fall and the limits must stay within the slots.
@@ -186,17 +186,17 @@
 		c := crowd.New(slots)
 		for range rapid.IntRange(0, 200).Draw(t, "requests") {
 			c.Learn(crowd.Sample{
-				Class:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"),
-				Level:   rapid.IntRange(0, slots+1).Draw(t, "level"),
-				Took:    time.Duration(rapid.Int64Range(-1, 1e10).Draw(t, "took")),
-				Told:    time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "told")),
-				AtLeast: rapid.Bool().Draw(t, "at least"),
+				Class:            rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"),
+				Level:            rapid.IntRange(0, slots+1).Draw(t, "level"),
+				ServiceTime:      time.Duration(rapid.Int64Range(-1, 1e10).Draw(t, "took")),
+				ReportedBaseTime: time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "told")),
+				Aborted:          rapid.Bool().Draw(t, "at least"),
 			})
 			require.GreaterOrEqual(t, c.Limit(), 1)
-			require.GreaterOrEqual(t, c.Trial(), c.Limit())
-			require.LessOrEqual(t, c.Trial(), slots)
+			require.GreaterOrEqual(t, c.TrialLimit(), c.Limit())
+			require.LessOrEqual(t, c.TrialLimit(), slots)
 			for n := 2; n <= slots; n++ {
-				require.GreaterOrEqual(t, c.Factor(n), c.Factor(n-1))
+				require.GreaterOrEqual(t, c.ContentionFactor(n), c.ContentionFactor(n-1))
 			}
 		}
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,18 +27,18 @@
 	var opts Options
 	parser := flags.NewNamedParser(program, flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("Options", "", &opts); err != nil {
-		return Complain(err)
+		return ReportError(err)
 	}
 	if _, err := parser.ParseArgs(args); err != nil {
 		if flags.WroteHelp(err) {
 			fmt.Println(err)
 			return ExitOK
 		}
-		return Complain(err)
+		return ReportError(err)
 	}
 	settings, err := load(opts.Settings)
 	if err != nil {
-		return Complain(err)
+		return ReportError(err)
 	}
 	if opts.Check {
 		fmt.Println("settings are good")
@@ -48,7 +48,7 @@
 }
 
 // ReportError prints the error that prevents a start and returns the exit code.
-func Complain(err error) int {
+func ReportError(err error) int {
 	fmt.Fprintln(os.Stderr, "limpetdockd:", err)
 	return ExitUsage
 }
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -54,7 +54,7 @@
 }
 
 // InfoLimited logs a decision on a request at level INFO, subject to the rate limit.
-func (l *Log) Decide(message string, pairs ...any) {
+func (l *Log) InfoLimited(message string, pairs ...any) {
 	if l == nil {
 		return
 	}
@@ -67,14 +67,14 @@
 
 // Info logs a change of the node's state at level INFO. Such changes are few and therefore
 // limited only by the queue.
-func (l *Log) Change(message string, pairs ...any) {
+func (l *Log) Info(message string, pairs ...any) {
 	if l != nil {
 		l.put(slog.LevelInfo, message, pairs)
 	}
 }
 
 // Warn logs a failure or degradation at level WARN.
-func (l *Log) Trouble(message string, pairs ...any) {
+func (l *Log) Warn(message string, pairs ...any) {
 	if l != nil {
 		l.put(slog.LevelWarn, message, pairs)
 	}
--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -27,8 +27,8 @@
 	go func() {
 		defer close(done)
 		for i := range lines {
-			log.Decide("request ended", "id", i)
-			log.Change("state changed", "id", i)
+			log.InfoLimited("request ended", "id", i)
+			log.Info("state changed", "id", i)
 		}
 	}()
 	<-done
@@ -53,7 +53,7 @@
 func TestLineIsOneJSONObjectWithItsPairs(t *testing.T) {
 	var out syncBuffer
 	log := decision.New(t.Context(), &out, slog.LevelInfo)
-	log.Decide("request ended", "id", "a7", "kind", "overloaded")
+	log.InfoLimited("request ended", "id", "a7", "kind", "overloaded")
 	require.Eventually(t, func() bool { n, _ := log.Counts(); return n == 1 }, time.Minute, time.Millisecond)
 	out.mu.Lock()
 	defer out.mu.Unlock()
@@ -67,8 +67,8 @@
 func TestWarnLevelLeavesOutDecisions(t *testing.T) {
 	var out syncBuffer
 	log := decision.New(t.Context(), &out, slog.LevelWarn)
-	log.Decide("request ended")
-	log.Trouble("store lost")
+	log.InfoLimited("request ended")
+	log.Warn("store lost")
 	require.Eventually(t, func() bool { n, _ := log.Counts(); return n == 1 }, time.Minute, time.Millisecond)
 	out.mu.Lock()
 	defer out.mu.Unlock()
@@ -78,16 +78,16 @@
 
 func TestNilLogDropsEverything(t *testing.T) {
 	var log *decision.Log
-	log.Decide("x")
-	log.Change("x")
-	log.Trouble("x")
+	log.InfoLimited("x")
+	log.Info("x")
+	log.Warn("x")
 }
 
 func BenchmarkDecide(b *testing.B) {
 	log := decision.New(b.Context(), io.Discard, slog.LevelInfo)
 	for b.Loop() {
 		// Info isn't limited by rate and writes the same line.
-		log.Change("request ended", "id", "9c41d07be2a35f68", "method", "GET", "host", "shop.example", "path", "/a", "took_ms", 90,
+		log.Info("request ended", "id", "9c41d07be2a35f68", "method", "GET", "host", "shop.example", "path", "/a", "took_ms", 90,
 			"config", 7, "revision", 20, "route", "r", "service", "orders", "budget_ms", 1000, "offers", "i-1 answered 90ms",
 			"outcome", "answered", "status", 200, "bytes", 5000)
 		for written, dropped := log.Counts(); written+dropped == 0; written, dropped = log.Counts() {
--- a/internal/entry/account.go
+++ b/internal/entry/account.go
@@ -70,10 +70,10 @@
 // an attempt that named an older incarnation: after a restart each target refuses one attempt
 // of every entry for that reason, and reports its new incarnation.
 func (e *Entry) allowNextAttempt(x *request, err *kind.Error) bool {
-	if err.Free() {
+	if err.RetryIsUncounted() {
 		return true
 	}
-	if err.Said() == kind.NotRun {
+	if err.ReportedOutcome() == kind.NotRun {
 		return x.retryBudget.Hop()
 	}
 	if x.chain == 0 || !x.retryBudget.Retry() {
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -57,7 +57,7 @@
 	held := &bytes.Buffer{}
 	held.Grow(int(resp.ContentLength))
 	if _, err := io.Copy(held, resp.Body); err != nil {
-		return reply{err: kind.New(kind.BackendBroken, "the answer was truncated").Because(err)}
+		return reply{err: kind.New(kind.BackendBroken, "the answer was truncated").WithCause(err)}
 	}
 	return reply{resp: resp, buffered: held}
 }
@@ -174,7 +174,7 @@
 	defer h.mu.Unlock()
 	if err != nil && !h.flushed {
 		h.flushed = true
-		return kind.New(kind.BackendBroken, "the answer was truncated").Because(err)
+		return kind.New(kind.BackendBroken, "the answer was truncated").WithCause(err)
 	}
 	if err != nil {
 		abort()
@@ -191,7 +191,7 @@
 
 func writeHeader(w http.ResponseWriter, resp *http.Response) {
 	headers.StripInternal(resp.Header)
-	headers.StripHop(resp.Header)
+	headers.StripHopByHop(resp.Header)
 	headers.Copy(w.Header(), resp.Header)
 	w.WriteHeader(resp.StatusCode)
 }
--- a/internal/entry/background.go
+++ b/internal/entry/background.go
@@ -110,14 +110,14 @@
 func probeTarget(v *pick.View, now time.Duration, turn int) *pick.Target {
 	var due []*pick.Service
 	for _, s := range v.Services {
-		if s.Policy == fleet.PolicyProbe && s.AskedWithin(now, probeActiveWindow) {
+		if s.Policy == fleet.PolicyProbe && s.ChosenWithin(now, probeActiveWindow) {
 			due = append(due, s)
 		}
 	}
 	if len(due) == 0 {
 		return nil
 	}
-	t := due[turn%len(due)].Stalest(pick.Draw{Now: now, Rand: pick.SharedRand})
+	t := due[turn%len(due)].ProbeTarget(pick.Draw{Now: now, Rand: pick.SharedRand})
 	if t == nil || v.Local(t) {
 		return nil
 	}
@@ -145,8 +145,8 @@
 	if !ok {
 		return
 	}
-	t.MeasuredRTT(e.now() - sent)
-	t.Report(pick.Report{
+	t.RecordRTT(e.now() - sent)
+	t.RecordReport(pick.Report{
 		Running: int(l.Running), Waiting: int(l.Waiting), Slots: int(l.Slots),
 		Service: time.Duration(l.ServiceUs) * time.Microsecond, At: e.now(),
 	})
--- a/internal/entry/budget_test.go
+++ b/internal/entry/budget_test.go
@@ -256,7 +256,7 @@
 // anyReport returns a report of any target, or nil.
 func (b *fixture) anyReport() *pick.Report {
 	for _, target := range b.view.Services["orders"].Targets {
-		if r := target.Reported(); r != nil {
+		if r := target.LastReport(); r != nil {
 			return r
 		}
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -78,10 +78,10 @@
 // Counters count failed exchanges and what the entry did about them. Safe for concurrent use.
 type Counters struct {
 	// ProgressChecks counts queries about exchanges that made no progress.
-	Checks atomic.Uint64
+	ProgressChecks atomic.Uint64
 	// UnresponsiveConnections counts connections that were closed because they were
 	// unresponsive.
-	Silent atomic.Uint64
+	UnresponsiveConnections atomic.Uint64
 	// Resolved counts attempts whose outcome had to be queried.
 	Resolved atomic.Uint64
 }
@@ -141,7 +141,7 @@
 
 // OnStaleConfig sets a function that is called when the guard on a VM refuses a request
 // because its configuration differs. f must not block.
-func (e *Entry) OnBehind(f func(vm string)) { e.onStaleConfig.Store(&f) }
+func (e *Entry) OnStaleConfig(f func(vm string)) { e.onStaleConfig.Store(&f) }
 
 // View returns the View in force, or nil.
 func (e *Entry) View() *pick.View { return e.view.Load() }
@@ -188,7 +188,7 @@
 	}
 	defer hold.Release()
 	x.retryBudget = e.retryBudgets.forService(x.service.Name)
-	if x.chain.Fresh() {
+	if x.chain.Unused() {
 		x.retryBudget.Request()
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), x.timeout)
--- a/internal/entry/evidence.go
+++ b/internal/entry/evidence.go
@@ -38,7 +38,7 @@
 
 // recordLoad removes the load report from an answer's headers and records it for the target.
 // The report's age counts from its arrival here; its age on arrival is part of the round trip.
-func (e *Entry) recordLoad(t *pick.Target, m pick.Mark, h http.Header) {
+func (e *Entry) recordLoad(t *pick.Target, m pick.Attempt, h http.Header) {
 	text := h.Get(headers.Load)
 	if text == "" {
 		return
@@ -49,8 +49,8 @@
 		return
 	}
 	now := e.now()
-	t.MeasuredRTT(m.Took(now) - l.Held)
-	t.Report(pick.Report{Running: l.Running, Waiting: l.Waiting, Slots: l.Slots, Service: l.Service, At: now})
+	t.RecordRTT(m.Elapsed(now) - l.GuardTime)
+	t.RecordReport(pick.Report{Running: l.Running, Waiting: l.Waiting, Slots: l.Slots, Service: l.ServiceTime, At: now})
 }
 
 // recordLocalLoad records the load of the local backend server, which needs no message.
@@ -59,7 +59,7 @@
 		return
 	}
 	l := e.load()
-	t.Report(pick.Report{Running: l.InUse, Waiting: l.Waiting, Slots: l.Limit, Service: l.Service, At: e.now()})
+	t.RecordReport(pick.Report{Running: l.InUse, Waiting: l.Waiting, Slots: l.Limit, Service: l.ServiceTime, At: e.now()})
 }
 
 // inFlightBody ends the target's in-flight request once the answer is closed.
--- a/internal/entry/fate.go
+++ b/internal/entry/fate.go
@@ -51,7 +51,7 @@
 			p.replied(e.now())
 		}
 		if p.exceeded(e.now(), err.Cause) || ctx.Err() != nil {
-			return kind.New(kind.OutcomeUnknown, "the target that may have run the request can't be queried").Because(err.Cause)
+			return kind.New(kind.OutcomeUnknown, "the target that may have run the request can't be queried").WithCause(err.Cause)
 		}
 		select {
 		case <-ctx.Done():
@@ -80,13 +80,13 @@
 		Incarnation: s.identity.Incarnation, Attempt: s.id, Tick: s.identity.Tick, AskOnly: s.repeatable,
 	})
 	if err != nil {
-		return false, kind.New(kind.OutcomeUnknown, "the target can't be queried").Because(err)
+		return false, kind.New(kind.OutcomeUnknown, "the target can't be queried").WithCause(err)
 	}
 	if s.repeatable && (reply.State == wire.AttemptAbsent || reply.State == wire.AttemptWaiting) {
 		return true, kind.New(kind.StaleAttempt, "the request hasn't started at its target")
 	}
-	switch attempt.Next(reply, s.identity.Incarnation) {
-	case attempt.Elsewhere:
+	switch attempt.NextStep(reply, s.identity.Incarnation) {
+	case attempt.RetryElsewhere:
 		sealed := kind.New(kind.Sealed, "the request was sealed before it ran")
 		sealed.FromGuard = true
 		return true, sealed
@@ -109,8 +109,8 @@
 	resp, failed := e.send(ctx, e.View(), s.target, out)
 	if failed != nil {
 		// A guard that can't be reached now is no evidence about the attempt.
-		if failed.Said() == kind.NotRun && !failed.FromGuard {
-			return kind.New(kind.OutcomeUnknown, "the answer can't be collected").Because(failed.Cause)
+		if failed.ReportedOutcome() == kind.NotRun && !failed.FromGuard {
+			return kind.New(kind.OutcomeUnknown, "the answer can't be collected").WithCause(failed.Cause)
 		}
 		return failed
 	}
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -132,9 +132,9 @@
 	start := time.Now()
 	g := guard.New(base, incarnation, func() time.Duration { return time.Since(start) + time.Duration(passed.Load()) })
 	g.SetView(&pick.View{Config: n.cluster.config, Here: pick.Place{VM: fmt.Sprint("vm", n.no)}})
-	g.Listed("ip", time.Millisecond)
+	g.ConfirmListed("ip", time.Millisecond)
 	passed.Store(int64(age))
-	g.Listed("ip", age)
+	g.ConfirmListed("ip", age)
 	n.guard.Store(g)
 }
 
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -33,7 +33,7 @@
 }
 
 func (p *heartbeat) beat(now time.Time) {
-	late := now.Sub(p.last) > attempt.KeyPause || now.Round(0).Sub(p.last.Round(0)) > attempt.KeyPause
+	late := now.Sub(p.last) > attempt.MaxKeyPause || now.Round(0).Sub(p.last.Round(0)) > attempt.MaxKeyPause
 	if late && !p.last.IsZero() {
 		p.resumed = now
 	}
--- a/internal/entry/heartbeat_test.go
+++ b/internal/entry/heartbeat_test.go
@@ -18,7 +18,7 @@
 		pause, opened time.Duration
 		want          bool
 	}{
-		{"a short pause is within the slack of records", attempt.KeyPause, 0, false},
+		{"a short pause is within the slack of records", attempt.MaxKeyPause, 0, false},
 		{"a connection from before a long pause", time.Hour, 0, true},
 		{"one that waited during the pause to be accepted", time.Hour, time.Hour + acceptDelay/2, true},
 		{"one opened after it", time.Hour, time.Hour + 2*acceptDelay, false},
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -76,8 +76,8 @@
 // startHedgeTimer starts the timer of the second copy. It returns nil if there is to be none:
 // a request that is itself a copy or a retry, or was caused by one, is not hedged.
 func (e *Entry) startHedgeTimer(ctx context.Context, v *pick.View, x *request, tried []*pick.Target) *hedge {
-	after := x.service.HedgeAfter()
-	if after == 0 || !x.chain.Fresh() {
+	after := x.service.HedgeDelay()
+	if after == 0 || !x.chain.Unused() {
 		return nil
 	}
 	h := e.hedges.Get().(*hedge)
@@ -106,7 +106,7 @@
 	if h.phase != armed || h.ctx.Err() != nil || e.becameSuspect(x) {
 		return nil
 	}
-	ask := &pick.Ask{Draw: pick.Draw{Now: e.now(), Rand: pick.SharedRand}, Tried: h.tried}
+	ask := &pick.Selection{Draw: pick.Draw{Now: e.now(), Rand: pick.SharedRand}, Tried: h.tried}
 	target := x.service.ChooseHedge(ask)
 	if target == nil || !x.retryBudget.Hedge() {
 		return nil
@@ -127,7 +127,7 @@
 // was admitted.
 func (e *Entry) becameSuspect(x *request) bool {
 	v := e.view.Load()
-	return len(v.Suspects) > 0 && v.Suspects[x.print()].Level != suspect.Innocent
+	return len(v.Suspects) > 0 && v.Suspects[x.print()].Level != suspect.Unsuspected
 }
 
 // finish records the second copy's result. A usable one ends the first copy; one that comes
@@ -136,7 +136,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	defer close(h.done)
-	h.x.retryBudget.Offered(r.refused())
+	h.x.retryBudget.RecordAttempt(r.refused())
 	if r.err != nil || r.buffered != nil {
 		h.cancel()
 	} else {
@@ -212,7 +212,7 @@
 		s.recordError(second.err)
 		second.discard()
 		return first
-	case first.err.Said() == kind.NotRun && second.err.Said() != kind.NotRun:
+	case first.err.ReportedOutcome() == kind.NotRun && second.err.ReportedOutcome() != kind.NotRun:
 		s.recordError(first.err)
 		return second
 	}
@@ -231,7 +231,7 @@
 
 // WaitHedges waits until no second copy is running, or ctx ends. A cancelled copy may run
 // slightly longer than its request.
-func (e *Entry) WaitCopies(ctx context.Context) {
+func (e *Entry) WaitHedges(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		e.runningHedges.Wait()
--- a/internal/entry/hedge_play_test.go
+++ b/internal/entry/hedge_play_test.go
@@ -75,7 +75,7 @@
 	}
 	s := pick.NewService(c.Services["orders"], targets, targets, len(targets), &pick.Shared{})
 	for range 64 {
-		s.Took(100 * time.Microsecond)
+		s.RecordDuration(100 * time.Microsecond)
 	}
 	h.view = &pick.View{Config: c, Here: pick.Place{VM: "x", Zone: "a", Region: "r"}, Services: map[string]*pick.Service{"orders": s}}
 	start := time.Now()
@@ -119,7 +119,7 @@
 	w := httptest.NewRecorder()
 	h.entry.ServeHTTP(w, r)
 	// Wait for cancelled copies, as a node does when it stops.
-	h.entry.WaitCopies(h.Context())
+	h.entry.WaitHedges(h.Context())
 	return w
 }
 
--- a/internal/entry/hedge_test.go
+++ b/internal/entry/hedge_test.go
@@ -177,7 +177,7 @@
 		})
 	}
 	wg.Wait()
-	h.entry.WaitCopies(t.Context())
+	h.entry.WaitHedges(t.Context())
 	most := uint64(requests*hedgePercent/100 + reserve)
 	t.Logf("%+v of %d requests", h.counts(), requests)
 	require.LessOrEqual(t, h.counts().Sent, most)
@@ -205,7 +205,7 @@
 		cancel()
 	}()
 	h.entry.ServeHTTP(httptest.NewRecorder(), r)
-	h.entry.WaitCopies(t.Context())
+	h.entry.WaitHedges(t.Context())
 	require.Zero(t, h.inFlight())
 }
 
--- a/internal/entry/hop.go
+++ b/internal/entry/hop.go
@@ -26,7 +26,7 @@
 	x.ask.Draw = pick.Draw{Now: e.now(), Rand: pick.SharedRand}
 	x.ask.Tried = tried
 	if deadline, ok := ctx.Deadline(); ok {
-		x.ask.Left = time.Until(deadline)
+		x.ask.Remaining = time.Until(deadline)
 	}
 	return x.service.Choose(&x.ask)
 }
@@ -53,9 +53,9 @@
 	resp, failed := e.exchangeAndRecord(ctx, v, t, m, out)
 	outcome := targetOutcome(ctx, resp, failed)
 	if outcome == pick.Neutral && lost != nil && lost.Load() {
-		outcome = pick.Outrun
+		outcome = pick.Superseded
 	}
-	t.Headers(m, e.now(), outcome, pick.SharedRand)
+	t.RecordOutcome(m, e.now(), outcome, pick.SharedRand)
 	if failed != nil {
 		t.End()
 		return nil, failed
@@ -66,7 +66,7 @@
 
 // exchangeAndRecord sends the request and records what the answer reports about the target. A
 // refusal of the guard is returned as an error.
-func (e *Entry) exchangeAndRecord(ctx context.Context, v *pick.View, t *pick.Target, m pick.Mark, out *http.Request) (*http.Response, *kind.Error) {
+func (e *Entry) exchangeAndRecord(ctx context.Context, v *pick.View, t *pick.Target, m pick.Attempt, out *http.Request) (*http.Response, *kind.Error) {
 	resp, failed := e.exchange(ctx, v, t, out)
 	if failed != nil {
 		return nil, failed
@@ -100,7 +100,7 @@
 	w := e.watch(ctx, t, out)
 	out = out.WithContext(w.ctx)
 	out.Body = w.wrapRequestBody(out.Body)
-	headers.Unreplayable(out)
+	headers.DisableReplay(out)
 	resp, err := e.remote.RoundTrip(out)
 	if err != nil {
 		defer w.stop()
@@ -121,13 +121,13 @@
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
-		return kind.New(kind.Unreachable, "the target can't be reached").Because(err)
+		return kind.New(kind.Unreachable, "the target can't be reached").WithCause(err)
 	case w.unresponsive():
-		return kind.New(kind.OutcomeUnknown, "the connection to the target is unresponsive").Because(errUnresponsive)
+		return kind.New(kind.OutcomeUnknown, "the connection to the target is unresponsive").WithCause(errUnresponsive)
 	case errors.Is(w.ctx.Err(), context.DeadlineExceeded):
-		return kind.New(kind.DeadlineUnknown, "the deadline passed before an answer came").Because(err)
+		return kind.New(kind.DeadlineUnknown, "the deadline passed before an answer came").WithCause(err)
 	}
-	return kind.New(kind.OutcomeUnknown, "the exchange with the target was interrupted").Because(err)
+	return kind.New(kind.OutcomeUnknown, "the exchange with the target was interrupted").WithCause(err)
 }
 
 // recordIdentity records the identity that a guard reports with its refusals.
@@ -140,5 +140,5 @@
 	if err != nil {
 		return
 	}
-	t.Stat.Learn(pick.Identity{Incarnation: incarnation, Tick: tick})
+	t.Stat.UpdateIdentity(pick.Identity{Incarnation: incarnation, Tick: tick})
 }
--- a/internal/entry/idempotent.go
+++ b/internal/entry/idempotent.go
@@ -34,14 +34,14 @@
 	if err == nil {
 		return
 	}
-	if !err.Free() {
+	if !err.RetryIsUncounted() {
 		s.hops++
 	}
 	if err.Death != 0 {
 		s.deaths++
 		s.entry.reportDeath(s.x, err)
 	}
-	s.mayHaveRun = s.mayHaveRun || err.Said() != kind.NotRun
+	s.mayHaveRun = s.mayHaveRun || err.ReportedOutcome() != kind.NotRun
 }
 
 // serveIdempotent sends a request to targets until one returns a complete answer.
@@ -73,7 +73,7 @@
 		if ctx.Err() != nil || x.bodyRead.Load() {
 			break
 		}
-		if !last.MayMove(true) || s.deaths > maxDeaths || !e.allowNextAttempt(x, last) {
+		if !last.MayTryOtherTarget(true) || s.deaths > maxDeaths || !e.allowNextAttempt(x, last) {
 			break
 		}
 		e.observer.Hopped(x.service.Name, last.Kind)
@@ -97,7 +97,7 @@
 		lost = &h.firstCancelled
 	}
 	r := e.sendAndBuffer(ctx, v, t, out, lost)
-	x.retryBudget.Offered(r.refused())
+	x.retryBudget.RecordAttempt(r.refused())
 	e.recordLatency(x, r, e.now()-start)
 	if h == nil {
 		return r
@@ -119,9 +119,9 @@
 func (e *Entry) recordLatency(x *request, r reply, took time.Duration) {
 	switch {
 	case r.usable():
-		x.service.Took(took)
-	case r.err != nil && r.err.Said() != kind.NotRun:
-		x.service.TookOver(took)
+		x.service.RecordDuration(took)
+	case r.err != nil && r.err.ReportedOutcome() != kind.NotRun:
+		x.service.RecordCanceled(took)
 	}
 }
 
--- a/internal/entry/key.go
+++ b/internal/entry/key.go
@@ -61,7 +61,7 @@
 		return &sentBody{}, kind.New(kind.Unreachable, "the key's home server isn't listed by the platform")
 	}
 	id := knownIdentity(home)
-	if olderThan(x.arrived, attempt.KeyDelay) {
+	if olderThan(x.arrived, attempt.MaxKeyDelay) {
 		return &sentBody{}, kind.New(kind.KeyUnknown, "the request was delayed for too long at this node")
 	}
 	return e.runAttempt(ctx, w, v, x, sentAttempt{target: home, id: attempt.KeyID(x.key), identity: id})
@@ -84,7 +84,7 @@
 	if err == nil || x == nil || !x.hasKeyOrTicket() {
 		return err
 	}
-	if err.Said() == kind.NotRun && !err.FromGuard {
+	if err.ReportedOutcome() == kind.NotRun && !err.FromGuard {
 		err.Outcome = kind.Unknown
 	}
 	return err
--- a/internal/entry/key_test.go
+++ b/internal/entry/key_test.go
@@ -149,7 +149,7 @@
 	wait, err := time.ParseDuration(got.retryAfter + "s")
 	require.NoError(t, err)
 	require.Greater(t, wait, 19*time.Minute)
-	require.LessOrEqual(t, wait, 2*(10*time.Minute+3*attempt.KeyDelay))
+	require.LessOrEqual(t, wait, 2*(10*time.Minute+3*attempt.MaxKeyDelay))
 }
 
 // One copy of a request has run while another is refused before it was sent to any target,
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -42,14 +42,14 @@
 		// Each attempt has its own id, so proof about one attempt doesn't apply to another and
 		// can't be invalidated by it.
 		body, err := e.runAttempt(ctx, w, v, x, sentAttempt{target: t, id: uuid.NewString(), identity: knownIdentity(t)})
-		if err == nil || err.Said() != kind.NotRun {
+		if err == nil || err.ReportedOutcome() != kind.NotRun {
 			return err
 		}
 		last = err
 		if ctx.Err() != nil || x.stream && body.bodyRead.Load() {
 			break
 		}
-		if !err.MayMove(false) || !e.allowNextAttempt(x, err) {
+		if !err.MayTryOtherTarget(false) || !e.allowNextAttempt(x, err) {
 			break
 		}
 		if err.Kind != kind.StaleAttempt {
@@ -89,13 +89,13 @@
 		return body, err
 	}
 	if x.cut(body) {
-		return body, kind.New(kind.BodyCut, "the request's body was truncated; a part of it was sent").Because(err)
+		return body, kind.New(kind.BodyCut, "the request's body was truncated; a part of it was sent").WithCause(err)
 	}
 	if s.identity == (pick.Identity{}) {
 		// No process has the zero identity, so none has run the attempt.
-		return body, kind.New(kind.StaleAttempt, "the target's identity isn't known yet").Because(err)
+		return body, kind.New(kind.StaleAttempt, "the target's identity isn't known yet").WithCause(err)
 	}
-	s.repeatable = attempt.ClassOf(s.id) != attempt.Try && !(x.stream && body.bodyRead.Load())
+	s.repeatable = attempt.ClassOf(s.id) != attempt.SingleAttempt && !(x.stream && body.bodyRead.Load())
 	return body, e.resolve(ctx, w, s)
 }
 
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -66,7 +66,7 @@
 	})
 	require.Equal(t, "run 1", got.body, got.kind)
 	require.EqualValues(t, 1, l.runs.Load())
-	require.Positive(t, w.entries[0].Counters().Silent.Load())
+	require.Positive(t, w.entries[0].Counters().UnresponsiveConnections.Load())
 }
 
 // The connection stalls before the request has been forwarded. The target has never received
--- a/internal/entry/progress.go
+++ b/internal/entry/progress.go
@@ -122,7 +122,7 @@
 		return
 	}
 	before := w.lastProgress.Load()
-	w.entry.counters.Checks.Add(1)
+	w.entry.counters.ProgressChecks.Add(1)
 	reply, err := w.entry.queryAttempt(w.ctx, w.target, &w.query)
 	switch {
 	case w.ctx.Err() != nil:
@@ -139,7 +139,7 @@
 		w.schedule(w.checkInterval)
 	default:
 		w.absent++
-		w.abortIf(w.absent >= maxAbsentReplies || reply.State == wire.AttemptElsewhere)
+		w.abortIf(w.absent >= maxAbsentReplies || reply.State == wire.AttemptOtherIncarnation)
 	}
 }
 
@@ -148,7 +148,7 @@
 		w.schedule(recheckAfter)
 		return
 	}
-	w.entry.counters.Silent.Add(1)
+	w.entry.counters.UnresponsiveConnections.Add(1)
 	w.entry.remote.Drop(w.target.Guard)
 	w.cancel(errUnresponsive)
 }
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -33,7 +33,7 @@
 	in      *http.Request
 	service *pick.Service
 	// ask is reused for each choice of a target.
-	ask pick.Ask
+	ask pick.Selection
 	// route is the rule that matched, or nil.
 	route *fleet.Route
 	// retryBudget is the service's retry budget, and chain the remaining budget of the call chain.
@@ -164,7 +164,7 @@
 	x.body = make([]byte, r.ContentLength)
 	_, err := io.ReadFull(r.Body, x.body)
 	if err != nil {
-		cause := kind.New(kind.BodyCut, "the request's body was truncated").Because(err)
+		cause := kind.New(kind.BodyCut, "the request's body was truncated").WithCause(err)
 		cause.Outcome = kind.NotRun
 		return cause
 	}
@@ -203,7 +203,7 @@
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, ContentLength: in.ContentLength,
 	}
 	headers.StripInternal(out.Header)
-	headers.StripHop(out.Header)
+	headers.StripHopByHop(out.Header)
 	headers.SetAll(out.Header, headers.Service, x.service.Name, headers.RetriesLeft, x.chain.String(),
 		headers.Depth, strconv.Itoa(x.depth+1), headers.Config, x.service.Stamp)
 	if x.suspected {
--- a/internal/entry/stale.go
+++ b/internal/entry/stale.go
@@ -18,7 +18,7 @@
 // configuration. It has not run, so this isn't counted as a retry; it is done once.
 func (e *Entry) retryWithNewConfig(ctx context.Context, w http.ResponseWriter, v *pick.View, x *request, err *kind.Error) *kind.Error {
 	// A request with a ticket or key may always be sent again.
-	again := err.Said() == kind.NotRun || x.hasKeyOrTicket()
+	again := err.ReportedOutcome() == kind.NotRun || x.hasKeyOrTicket()
 	if err.Kind != kind.StaleConfig || !again || x.bodyRead.Load() {
 		return err
 	}
--- a/internal/entry/ticket.go
+++ b/internal/entry/ticket.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return kind.From(err)
 	}
-	expires := attempt.TicketWindow - attempt.TickEvery
+	expires := attempt.TicketWindow - attempt.TickInterval
 	body := &bytes.Buffer{}
 	// Writing to a buffer can't fail.
 	_ = json.NewEncoder(body).Encode(ticketAnswer{Ticket: text, ExpiresInMs: expires.Milliseconds()})
--- a/internal/gate/chain_test.go
+++ b/internal/gate/chain_test.go
@@ -103,11 +103,11 @@
 func (c *chainedService) call(ctx context.Context, rnd *rand.Rand, depth, below int) bool {
 	const attempts, mean = 3, 40 * time.Millisecond
 	for _, i := range rnd.Perm(len(c.gates))[:attempts] {
-		slot, refusal := c.gates[i].Enter(ctx, Rank{Depth: depth})
+		slot, refusal := c.gates[i].Acquire(ctx, Rank{Depth: depth})
 		if refusal != nil {
 			continue
 		}
-		defer slot.Leave()
+		defer slot.Release()
 		select {
 		case <-time.After(time.Duration((0.5 + 0.5*rnd.ExpFloat64()) * float64(mean))):
 		case <-ctx.Done():
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -93,13 +93,13 @@
 func (s Slot) ContentionFactor() float64 {
 	s.gate.mu.Lock()
 	defer s.gate.mu.Unlock()
-	return s.gate.curve.Factor(s.concurrency)
+	return s.gate.curve.ContentionFactor(s.concurrency)
 }
 
 // Acquire waits for a slot for a request. It refuses the request at once if the queue is
 // full of requests of the same rank or higher, or if the expected wait exceeds the
 // deadline of ctx.
-func (g *Gate) Enter(ctx context.Context, rank Rank) (Slot, *kind.Error) {
+func (g *Gate) Acquire(ctx context.Context, rank Rank) (Slot, *kind.Error) {
 	return g.AcquireWithin(ctx, rank, WaitLimits{})
 }
 
@@ -148,7 +148,7 @@
 // mayStartTrial reports whether a request may start beyond the limit to measure how long
 // it takes there. The mutex is held.
 func (g *Gate) mayStartTrial(now time.Time) bool {
-	highest := g.curve.Trial()
+	highest := g.curve.TrialLimit()
 	return g.limits.LearnedLimit && g.trials < highest-g.curve.Limit() &&
 		g.running < g.start.bound(now, highest, g.limits.Slots)
 }
@@ -167,11 +167,11 @@
 func (g *Gate) BaseServiceTime(class string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.curve.Work(class)
+	return g.curve.BaseServiceTime(class)
 }
 
 // Release releases the slot.
-func (s Slot) Leave() {
+func (s Slot) Release() {
 	g := s.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -237,7 +237,7 @@
 // SetBackendRunning records the number of running requests that the backend server
 // reports. It is used only during the slow start; afterwards the gate's own count is more
 // accurate.
-func (g *Gate) BackendCount(n int) {
+func (g *Gate) SetBackendRunning(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.start.update(n, g.running)
@@ -254,7 +254,7 @@
 	// WaitingInTime is how many waiting requests can still meet their latency objective.
 	WaitingInTime int `json:"due"`
 	// ServiceTime is the average time that a slot is held.
-	Service time.Duration `json:"service_ns"`
+	ServiceTime time.Duration `json:"service_ns"`
 	// Refused is the number of refusals since the start.
 	Refused uint64 `json:"refused"`
 }
@@ -265,7 +265,7 @@
 	defer g.mu.Unlock()
 	return Load{
 		Slots: g.limits.Slots, Limit: g.limit(time.Now()), InUse: g.running, Waiting: len(g.queue), WaitingInTime: countInTime(g.queue, time.Now()),
-		Service: g.drain.serviceTime, Refused: g.refused,
+		ServiceTime: g.drain.serviceTime, Refused: g.refused,
 	}
 }
 
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -18,7 +18,7 @@
 func newWarmGate(l Limits) *Gate {
 	g := New()
 	g.SetLimits(l)
-	g.BackendCount(0)
+	g.SetBackendRunning(0)
 	return g
 }
 
@@ -77,14 +77,14 @@
 func (j *outcomeLog) sendRanked(g *Gate, ctx context.Context, name string, rank Rank, serviceTime time.Duration) {
 	start := time.Now()
 	go func() {
-		slot, e := g.Enter(ctx, rank)
+		slot, e := g.Acquire(ctx, rank)
 		if e != nil {
 			j.add(outcome{name, e.Kind, time.Since(start)})
 			return
 		}
 		j.add(outcome{name, "", time.Since(start)})
 		time.Sleep(serviceTime)
-		slot.Leave()
+		slot.Release()
 	}()
 	synctest.Wait()
 }
@@ -181,7 +181,7 @@
 		// With two slots and requests of one second, two complete per second, and ten wait.
 		least, most := time.Hour, time.Duration(0)
 		for range 100 {
-			_, e := g.Enter(ctx, Rank{})
+			_, e := g.Acquire(ctx, Rank{})
 			require.Equal(t, kind.Overloaded, e.Kind)
 			least, most = min(least, e.RetryAfter), max(most, e.RetryAfter)
 		}
@@ -215,13 +215,13 @@
 		g := New()
 		g.SetLimits(Limits{Slots: 6, Queue: 16})
 		require.Equal(t, 1, g.Load().Limit, "before the first report of the server")
-		g.BackendCount(6)
+		g.SetBackendRunning(6)
 		require.Equal(t, 1, g.Load().Limit, "the server is full")
-		g.BackendCount(4)
+		g.SetBackendRunning(4)
 		require.Equal(t, 2, g.Load().Limit)
-		g.BackendCount(0)
+		g.SetBackendRunning(0)
 		require.Equal(t, 6, g.Load().Limit, "both counts agree")
-		g.BackendCount(99)
+		g.SetBackendRunning(99)
 		require.Equal(t, 6, g.Load().Limit, "afterwards the gate's own count is used")
 	})
 }
@@ -253,7 +253,7 @@
 		for _, g := range []*Gate{silent, overstating} {
 			g.SetLimits(Limits{Slots: 6, Queue: 16})
 		}
-		overstating.BackendCount(1000)
+		overstating.SetBackendRunning(1000)
 		time.Sleep(2 * doublingInterval)
 		require.Equal(t, 4, silent.Load().Limit)
 		require.Equal(t, 1, overstating.Load().Limit)
@@ -294,25 +294,25 @@
 	b.Run("free", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			slot, _ := g.Enter(ctx, Rank{})
-			slot.Leave()
+			slot, _ := g.Acquire(ctx, Rank{})
+			slot.Release()
 		}
 	})
 	b.Run("parallel", func(b *testing.B) {
 		b.ReportAllocs()
 		b.RunParallel(func(pb *testing.PB) {
 			for pb.Next() {
-				slot, _ := g.Enter(ctx, Rank{})
-				slot.Leave()
+				slot, _ := g.Acquire(ctx, Rank{})
+				slot.Release()
 			}
 		})
 	})
 	full := newWarmGate(Limits{Slots: 1, Queue: 0})
-	_, _ = full.Enter(ctx, Rank{})
+	_, _ = full.Acquire(ctx, Rank{})
 	b.Run("refused", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			_, _ = full.Enter(ctx, Rank{})
+			_, _ = full.Acquire(ctx, Rank{})
 		}
 	})
 }
@@ -321,8 +321,8 @@
 	g := newWarmGate(Limits{Slots: 4, Queue: 4})
 	ctx := context.Background()
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
-		slot, _ := g.Enter(ctx, Rank{})
-		slot.Leave()
+		slot, _ := g.Acquire(ctx, Rank{})
+		slot.Release()
 	}))
 }
 
@@ -332,18 +332,18 @@
 	late, used := 0, 0
 	for range 200 {
 		g := newWarmGate(Limits{Slots: 1, Queue: 1})
-		first, e := g.Enter(t.Context(), Rank{})
+		first, e := g.Acquire(t.Context(), Rank{})
 		require.Nil(t, e)
 		ctx, cancel := context.WithCancel(t.Context())
 		g.mu.Lock()
 		w, e := g.enqueue(ctx, Rank{}, WaitLimits{}, time.Now())
 		g.mu.Unlock()
 		require.Nil(t, e)
-		first.Leave()
+		first.Release()
 		cancel()
 		if slot, e := g.wait(ctx, w); e == nil {
 			used++
-			slot.Leave()
+			slot.Release()
 		} else {
 			late++
 		}
--- a/internal/gate/in_time_test.go
+++ b/internal/gate/in_time_test.go
@@ -38,7 +38,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := New()
 		g.SetLimits(Limits{Slots: 4, Queue: 64, Order: order})
-		g.BackendCount(0)
+		g.SetBackendRunning(0)
 		for range requests {
 			arrived := time.Now()
 			go func() {
@@ -49,7 +49,7 @@
 					return
 				}
 				time.Sleep(serviceTime)
-				slot.Leave()
+				slot.Release()
 				servedCount.Add(1)
 				if time.Since(arrived) <= objective {
 					inTimeCount.Add(1)
@@ -80,7 +80,7 @@
 		const serviceTime = 100 * time.Millisecond
 		g := New()
 		g.SetLimits(Limits{Slots: 1, Queue: 64, Order: OrderInTime})
-		g.BackendCount(0)
+		g.SetBackendRunning(0)
 		ctx, cancel := context.WithCancel(t.Context())
 		send := func(startByObjective time.Duration, queueTimeout time.Duration) *kind.Error {
 			slot, refusal := g.AcquireWithin(ctx, Rank{}, WaitLimits{QueueTimeout: queueTimeout, StartByObjective: time.Now().Add(startByObjective)})
@@ -88,7 +88,7 @@
 				return refusal
 			}
 			time.Sleep(serviceTime)
-			slot.Leave()
+			slot.Release()
 			return nil
 		}
 		for range 30 {
@@ -137,7 +137,7 @@
 		_, refusal := g.AcquireWithin(ctx, Rank{}, WaitLimits{QueueTimeout: time.Minute, StartByObjective: start.Add(serviceTime / 2), StartByDeadline: start.Add(startByDeadline)})
 		require.NotNil(t, refusal)
 		require.Equal(t, kind.Overloaded, refusal.Kind)
-		require.Equal(t, kind.NotRun, refusal.Said())
+		require.Equal(t, kind.NotRun, refusal.ReportedOutcome())
 		require.Less(t, time.Since(start), startByDeadline*3/4, "with time left for another target")
 		require.Positive(t, refusal.RetryAfter)
 		<-ctx.Done()
@@ -155,7 +155,7 @@
 			QueueTimeout: time.Minute, StartByObjective: time.Now().Add(50 * time.Millisecond), StartByDeadline: time.Now().Add(2 * time.Second),
 		})
 		require.Nil(t, refusal)
-		slot.Leave()
+		slot.Release()
 	})
 }
 
@@ -166,5 +166,5 @@
 		return
 	}
 	time.Sleep(serviceTime)
-	slot.Leave()
+	slot.Release()
 }
--- a/internal/guard/conn_test.go
+++ b/internal/guard/conn_test.go
@@ -81,7 +81,7 @@
 	require.Equal(t, attempt.Start, v)
 	resp, e := g.detach(r, c, time.Now().Add(time.Minute), execution{leave: func() {}})
 	if e != nil {
-		return nil, string(e.Kind) + " " + string(e.Said())
+		return nil, string(e.Kind) + " " + string(e.ReportedOutcome())
 	}
 	return resp, ""
 }
--- a/internal/guard/death.go
+++ b/internal/guard/death.go
@@ -48,7 +48,7 @@
 			g.transport.CloseIdleConnections()
 		}
 	}
-	e := kind.New(kind.BackendDied, "the backend server died with the request in flight").Because(cause)
+	e := kind.New(kind.BackendDied, "the backend server died with the request in flight").WithCause(cause)
 	e.Death = g.deathID(generation + 1)
 	return e
 }
@@ -61,10 +61,10 @@
 	conn, err := dialer.DialContext(ctx, "tcp", g.backend.Host)
 	if err == nil {
 		_ = conn.Close()
-		return kind.New(kind.BackendBroken, "the backend server closed the connection before the answer was complete").Because(cause)
+		return kind.New(kind.BackendBroken, "the backend server closed the connection before the answer was complete").WithCause(cause)
 	}
 	if ctx.Err() != nil {
-		return kind.New(kind.BackendBroken, "the backend server closed the connection and did not accept a new one in time").Because(cause)
+		return kind.New(kind.BackendBroken, "the backend server closed the connection and did not accept a new one in time").WithCause(cause)
 	}
 	return nil
 }
--- a/internal/guard/death_test.go
+++ b/internal/guard/death_test.go
@@ -117,7 +117,7 @@
 	start := time.Now()
 	g := New(&url.URL{Scheme: "http", Host: m.addr}, 1, func() time.Duration { return time.Since(start) })
 	g.SetView(viewFor(t, f))
-	g.gate.BackendCount(0)
+	g.gate.SetBackendRunning(0)
 	t.Cleanup(g.Close)
 	return g
 }
@@ -177,7 +177,7 @@
 	late := <-bystander
 	require.NotNil(t, late)
 	require.Equal(t, kind.Unreachable, late.Kind, "it was never sent")
-	require.Equal(t, kind.NotRun, late.Said())
+	require.Equal(t, kind.NotRun, late.ReportedOutcome())
 	require.Zero(t, late.Death)
 }
 
--- a/internal/guard/fence.go
+++ b/internal/guard/fence.go
@@ -35,7 +35,7 @@
 
 // OnStaleConfig sets the function that is called when a request shows that the node on
 // a VM has a newer configuration in force. The function must not block.
-func (g *Guard) OnBehind(f func(vm string)) { g.fence.onStale.Store(&f) }
+func (g *Guard) OnStaleConfig(f func(vm string)) { g.fence.onStale.Store(&f) }
 
 // checkConfig returns the View under which the request may run. If the guard's
 // configuration is newer than the request's, it refuses the request. If it is older,
--- a/internal/guard/fence_test.go
+++ b/internal/guard/fence_test.go
@@ -78,7 +78,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := New(&url.URL{}, 1, func() time.Duration { return 0 })
 				var notified []string
-				g.OnBehind(func(vm string) { notified = append(notified, vm) })
+				g.OnStaleConfig(func(vm string) { notified = append(notified, vm) })
 				here, there := viewOf(t, uint64(c.here[0]), c.here[1]), viewOf(t, uint64(c.there[0]), c.there[1])
 				g.view.Store(here)
 				if c.later != [2]int{} {
@@ -101,7 +101,7 @@
 				}
 				if c.refused {
 					require.Equal(t, kind.StaleConfig, e.Kind)
-					require.Equal(t, kind.NotRun, e.Said())
+					require.Equal(t, kind.NotRun, e.ReportedOutcome())
 					return
 				}
 				require.Nil(t, e)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -246,18 +246,18 @@
 	out.URL.Host = g.backend.Host
 	out.RequestURI = ""
 	headers.StripInternal(out.Header)
-	headers.StripHop(out.Header)
+	headers.StripHopByHop(out.Header)
 	if deadline, ok := ctx.Deadline(); ok {
 		out.Header.Set(headers.TimeoutMs, strconv.FormatInt(max(1, time.Until(deadline).Milliseconds()), 10))
 	}
 	out.Header.Del("Expect")
-	headers.Unreplayable(out)
+	headers.DisableReplay(out)
 	resp, err := g.transport.RoundTrip(out)
 	if err != nil {
 		return nil, err
 	}
 	headers.StripInternal(resp.Header)
-	headers.StripHop(resp.Header)
+	headers.StripHopByHop(resp.Header)
 	return resp, nil
 }
 
@@ -276,11 +276,11 @@
 func (g *Guard) backendError(ctx context.Context, p *permit, v execution, err error) *kind.Error {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return kind.New(kind.DeadlineUnknown, "the deadline passed while the backend server ran the request").Because(err)
+		return kind.New(kind.DeadlineUnknown, "the deadline passed while the backend server ran the request").WithCause(err)
 	case errors.Is(ctx.Err(), context.Canceled):
 		// The caller that cancelled doesn't wait for a probe of the backend server, and a
 		// death found by it wouldn't be caused by this request.
-		return kind.New(kind.OutcomeUnknown, "the request was cancelled").Because(err)
+		return kind.New(kind.OutcomeUnknown, "the request was cancelled").WithCause(err)
 	}
 	e := g.connectionError(p, err)
 	e.Alone = e.Death != 0 && v.alone()
--- a/internal/guard/handover.go
+++ b/internal/guard/handover.go
@@ -8,7 +8,7 @@
 
 // KeysToHand returns the largest size of the key table in bytes and how long a peer
 // may store it. ok is false if this guard isn't certain to be the home.
-func (g *Guard) KeysToHand() (bytes int, hold time.Duration, ok bool) {
+func (g *Guard) HandoverSize() (bytes int, hold time.Duration, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.confirmedRecently() {
@@ -29,7 +29,7 @@
 }
 
 // WantsKeys reports whether the predecessor's table can still be used here.
-func (g *Guard) WantsKeys() bool {
+func (g *Guard) NeedsKeys() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.confirmedRecently() && g.attempts.NeedsKeys(g.now())
@@ -37,7 +37,7 @@
 
 // TakeKeys adds the predecessor's table to the guard's own and reports whether it
 // was accepted.
-func (g *Guard) TakeKeys(t *attempt.KeyTable) bool {
+func (g *Guard) RestoreKeys(t *attempt.KeyTable) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.confirmedRecently() && g.attempts.RestoreKeys(t, g.now())
--- a/internal/guard/health.go
+++ b/internal/guard/health.go
@@ -39,7 +39,7 @@
 		return h, err
 	}
 	if h.Running != nil {
-		g.gate.BackendCount(*h.Running)
+		g.gate.SetBackendRunning(*h.Running)
 	}
 	return h, nil
 }
--- a/internal/guard/load.go
+++ b/internal/guard/load.go
@@ -74,7 +74,7 @@
 	load := g.gate.Load()
 	value := headers.LoadReport{
 		Running: load.InUse, Waiting: load.Waiting, Slots: load.Limit,
-		Service: load.Service, Held: g.now() - arrived,
+		ServiceTime: load.ServiceTime, GuardTime: g.now() - arrived,
 	}.String()
 	if b.Allow(headers.LineSize(headers.Load, value), a.crossesRegion(senderOf(r))) {
 		h.Set(headers.Load, value)
@@ -98,7 +98,7 @@
 
 // Probed returns the answer to a probe of the node on a VM, or nil if the budget
 // doesn't allow it. The node that asked then continues without it.
-func (g *Guard) Probed(from string) *wire.Load {
+func (g *Guard) AnswerProbe(from string) *wire.Load {
 	b, a := g.reporter.budget.Load(), g.reporter.readers.Load()
 	if b == nil || a == nil {
 		return nil
@@ -106,7 +106,7 @@
 	load := g.gate.Load()
 	m := &wire.Load{
 		Running: uint32(load.InUse), Waiting: uint32(load.Waiting), Slots: uint32(load.Limit),
-		ServiceUs: uint32(load.Service.Microseconds()),
+		ServiceUs: uint32(load.ServiceTime.Microseconds()),
 	}
 	if !b.Allow(wire.Size(m), a.crossesRegion(from)) {
 		return nil
--- a/internal/guard/load_test.go
+++ b/internal/guard/load_test.go
@@ -69,8 +69,8 @@
 	require.EqualValues(t, line, m.Spent().CrossBytes.Load())
 	require.NotEmpty(t, replyTo(g, "near"), "the region's own budget is untouched")
 
-	require.Nil(t, g.Probed("far"))
-	require.NotNil(t, g.Probed("near"))
+	require.Nil(t, g.AnswerProbe("far"))
+	require.NotNil(t, g.AnswerProbe("near"))
 	require.EqualValues(t, 3*line+wire.Size(&wire.Load{}), m.Spent().Bytes.Load())
 }
 
--- a/internal/guard/once.go
+++ b/internal/guard/once.go
@@ -74,7 +74,7 @@
 	}
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
-		e := kind.New(kind.BodyCut, "the request's body was cut off before its declared length").Because(err)
+		e := kind.New(kind.BodyCut, "the request's body was cut off before its declared length").WithCause(err)
 		e.Outcome = copyOutcome(attempt.ClassOf(r.Header.Get(headers.Attempt)))
 		return nil, e
 	}
@@ -164,7 +164,7 @@
 	}
 	g.finish(id, nil)
 	if body.failed.Load() && ctx.Err() == nil {
-		return nil, kind.New(kind.BodyCut, "the request's body was cut off after its start had been sent to the backend server").Because(err)
+		return nil, kind.New(kind.BodyCut, "the request's body was cut off after its start had been sent to the backend server").WithCause(err)
 	}
 	return nil, g.backendError(ctx, p, v, err)
 }
@@ -173,9 +173,9 @@
 // server.
 func notSent(deadline time.Time, err error) *kind.Error {
 	if passed(deadline, time.Now()) || errors.Is(err, errRevoked) {
-		return kind.New(kind.DeadlineNotRun, "the deadline passed before the request could run").Because(err)
+		return kind.New(kind.DeadlineNotRun, "the deadline passed before the request could run").WithCause(err)
 	}
-	return kind.New(kind.Unreachable, "the backend server can't be reached").Because(err)
+	return kind.New(kind.Unreachable, "the backend server can't be reached").WithCause(err)
 }
 
 // storeAnswer stores a small answer completely, so that it can be collected again.
@@ -185,7 +185,7 @@
 		_ = resp.Body.Close()
 		g.finish(id, nil)
 		end()
-		return nil, kind.New(kind.BackendBroken, "the backend server closed the connection during its answer").Because(err)
+		return nil, kind.New(kind.BackendBroken, "the backend server closed the connection during its answer").WithCause(err)
 	}
 	if whole {
 		_ = resp.Body.Close()
--- a/internal/guard/records.go
+++ b/internal/guard/records.go
@@ -65,7 +65,7 @@
 // Listed records that the platform listed this VM under an address at a time
 // since the node's start. The same listing is reported on every tick; only a newer one
 // or one with another address has an effect.
-func (g *Guard) Listed(addr string, at time.Duration) {
+func (g *Guard) ConfirmListed(addr string, at time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	newer := at > g.listed
@@ -92,7 +92,7 @@
 // Heard processes the member list of an update. A newer incarnation of the own
 // VM means that this process has been replaced and is still running beside its
 // replacement.
-func (g *Guard) Heard(members []wire.Member) {
+func (g *Guard) HandleMembers(members []wire.Member) {
 	vm := g.vm
 	if v := g.view.Load(); v != nil {
 		vm = v.Here.VM
--- a/internal/guard/room.go
+++ b/internal/guard/room.go
@@ -7,7 +7,7 @@
 // WithoutCapacity marks a request that arrived on a connection above the connection
 // limit. New work is refused; stored outcomes are still returned, such as the answer
 // of an attempt that is collected over a new connection.
-func NoRoom(ctx context.Context) context.Context {
+func WithoutCapacity(ctx context.Context) context.Context {
 	return context.WithValue(ctx, noRoomKey{}, true)
 }
 
--- a/internal/guard/verdict.go
+++ b/internal/guard/verdict.go
@@ -14,7 +14,7 @@
 // another copy has run, this one joins it. If neither can be determined, the outcome
 // is unknown.
 func (g *Guard) refuse(r *http.Request, c attempt.Claim, e *kind.Error) (*http.Response, *kind.Error) {
-	if attempt.ClassOf(c.ID) == attempt.Try || e.Said() != kind.NotRun {
+	if attempt.ClassOf(c.ID) == attempt.SingleAttempt || e.ReportedOutcome() != kind.NotRun {
 		return nil, e
 	}
 	if e.Kind == kind.StaleConfig {
@@ -73,14 +73,14 @@
 // copyOutcome returns the outcome of a copy that certainly didn't run. Other copies of
 // a ticket or key may have run.
 func copyOutcome(class attempt.Class) kind.Outcome {
-	if class == attempt.Try {
+	if class == attempt.SingleAttempt {
 		return kind.NotRun
 	}
 	return kind.Unknown
 }
 
 func sealedError(id string) *kind.Error {
-	if attempt.ClassOf(id) == attempt.Try {
+	if attempt.ClassOf(id) == attempt.SingleAttempt {
 		return kind.New(kind.Sealed, "the attempt was sealed before it ran")
 	}
 	return kind.New(kind.Sealed, "no request has run under this ticket or key and none will; use a new one")
--- a/internal/handover/keeper.go
+++ b/internal/handover/keeper.go
@@ -50,8 +50,8 @@
 // Counts counts the outcomes of tables at this keeper.
 type Counts struct {
 	// Stored counts tables received completely, Sent those sent to a successor.
-	Kept  uint64 `json:"kept"`
-	Given uint64 `json:"given"`
+	Stored uint64 `json:"kept"`
+	Sent   uint64 `json:"given"`
 	// Refused counts refused offers and requests, Dropped tables that were deleted
 	// before a successor had received them.
 	Refused uint64 `json:"refused"`
@@ -115,27 +115,27 @@
 
 // Put stores the next part of a table. A repetition of the last part received is
 // acknowledged again.
-func (k *Keeper) Put(vm string, m *wire.KeysPart, now Moment) *wire.KeysKept {
+func (k *Keeper) Put(vm string, m *wire.KeysPart, now Moment) *wire.KeysAck {
 	k.Sweep(now)
 	t := k.tables[vm]
 	if t == nil || t.token != m.Token || m.Parts == 0 || m.Parts > maxParts || now.since(t.granted) > putTimeout {
-		return &wire.KeysKept{}
+		return &wire.KeysAck{}
 	}
 	next := uint32(len(t.parts))
 	if m.Seq+1 == next && m.Parts == t.total {
-		return &wire.KeysKept{OK: true}
+		return &wire.KeysAck{OK: true}
 	}
 	if m.Seq != next || t.total != 0 && m.Parts != t.total || next == m.Parts || t.size+uint64(len(m.Data)) > t.reserved {
 		k.drop(vm)
-		return &wire.KeysKept{}
+		return &wire.KeysAck{}
 	}
 	t.total = m.Parts
 	t.size += uint64(len(m.Data))
 	t.parts = append(t.parts, m.Data)
 	if t.complete() {
-		k.Counts.Kept++
+		k.Counts.Stored++
 	}
-	return &wire.KeysKept{OK: true}
+	return &wire.KeysAck{OK: true}
 }
 
 // ServePart returns the next part of a table to the first successor that asks, and to
@@ -143,7 +143,7 @@
 // processes with the same table would both be home of its keys. newest is the newest
 // incarnation of the VM that the keeper has seen. An incarnation between the two may
 // have run keys that aren't in the table.
-func (k *Keeper) Give(m *wire.KeysAsk, newest uint64, now Moment) *wire.KeysPart {
+func (k *Keeper) ServePart(m *wire.KeysRequest, newest uint64, now Moment) *wire.KeysPart {
 	k.Sweep(now)
 	t := k.tables[m.VM]
 	if t == nil || !t.complete() || m.Format != wire.KeysFormat || m.Incarnation <= t.incarnation {
@@ -162,7 +162,7 @@
 	t.parts[m.Seq] = nil
 	t.sentParts++
 	if t.sentParts == t.total {
-		k.Counts.Given++
+		k.Counts.Sent++
 		k.remove(m.VM)
 	}
 	return part
@@ -188,17 +188,17 @@
 }
 
 // TableInfo describes a stored table on the status page.
-type Held struct {
+type TableInfo struct {
 	Incarnation uint64 `json:"incarnation"`
 	Bytes       uint64 `json:"bytes"`
 	Whole       bool   `json:"whole"`
 }
 
 // Tables returns the stored tables, by VM.
-func (k *Keeper) Held() map[string]Held {
-	out := make(map[string]Held, len(k.tables))
+func (k *Keeper) Tables() map[string]TableInfo {
+	out := make(map[string]TableInfo, len(k.tables))
 	for vm, t := range k.tables {
-		out[vm] = Held{Incarnation: t.incarnation, Bytes: t.size, Whole: t.complete()}
+		out[vm] = TableInfo{Incarnation: t.incarnation, Bytes: t.size, Whole: t.complete()}
 	}
 	return out
 }
--- a/internal/handover/keeper_test.go
+++ b/internal/handover/keeper_test.go
@@ -17,8 +17,8 @@
 	return &wire.KeysOffer{Format: wire.KeysFormat, VM: "a", Incarnation: incarnation, Bytes: bytes, HoldMs: 10_000}
 }
 
-func ask(incarnation uint64, seq uint32) *wire.KeysAsk {
-	return &wire.KeysAsk{Format: wire.KeysFormat, VM: "a", Incarnation: incarnation, Seq: seq}
+func ask(incarnation uint64, seq uint32) *wire.KeysRequest {
+	return &wire.KeysRequest{Format: wire.KeysFormat, VM: "a", Incarnation: incarnation, Seq: seq}
 }
 
 func part(token uint64, seq uint32) *wire.KeysPart {
@@ -51,36 +51,36 @@
 		want  uint32
 	}{
 		{"to its successor in time", func(k *Keeper, _ uint64) *wire.KeysPart {
-			k.Give(ask(6, 0), 5, at(time.Second))
-			return k.Give(ask(6, 1), 6, at(time.Second))
+			k.ServePart(ask(6, 0), 5, at(time.Second))
+			return k.ServePart(ask(6, 1), 6, at(time.Second))
 		}, served},
-		{"after its expiry", func(k *Keeper, _ uint64) *wire.KeysPart { return k.Give(ask(6, 0), 5, at(11*time.Second)) }, notServed},
+		{"after its expiry", func(k *Keeper, _ uint64) *wire.KeysPart { return k.ServePart(ask(6, 0), 5, at(11*time.Second)) }, notServed},
 		{"after its expiry by the wall clock alone", func(k *Keeper, _ uint64) *wire.KeysPart {
-			return k.Give(ask(6, 0), 5, Moment{Up: time.Second, Wall: at(time.Minute).Wall})
+			return k.ServePart(ask(6, 0), 5, Moment{Up: time.Second, Wall: at(time.Minute).Wall})
 		}, notServed},
 		{"a second time", func(k *Keeper, _ uint64) *wire.KeysPart {
-			k.Give(ask(6, 0), 5, at(0))
-			k.Give(ask(6, 1), 5, at(0))
-			return k.Give(ask(6, 0), 5, at(0))
+			k.ServePart(ask(6, 0), 5, at(0))
+			k.ServePart(ask(6, 1), 5, at(0))
+			return k.ServePart(ask(6, 0), 5, at(0))
 		}, notServed},
 		{"a part again whose answer was lost", func(k *Keeper, _ uint64) *wire.KeysPart {
-			k.Give(ask(6, 0), 5, at(0))
-			return k.Give(ask(6, 0), 5, at(0))
+			k.ServePart(ask(6, 0), 5, at(0))
+			return k.ServePart(ask(6, 0), 5, at(0))
 		}, notServed},
 		{"the rest to another", func(k *Keeper, _ uint64) *wire.KeysPart {
-			k.Give(ask(6, 0), 5, at(0))
-			return k.Give(ask(7, 1), 5, at(0))
+			k.ServePart(ask(6, 0), 5, at(0))
+			return k.ServePart(ask(7, 1), 5, at(0))
 		}, notServed},
 		{"when a third process has been seen", func(k *Keeper, _ uint64) *wire.KeysPart {
-			return k.Give(ask(7, 0), 6, at(0))
+			return k.ServePart(ask(7, 0), 6, at(0))
 		}, notServed},
-		{"to an older process", func(k *Keeper, _ uint64) *wire.KeysPart { return k.Give(ask(4, 0), 5, at(0)) }, notServed},
+		{"to an older process", func(k *Keeper, _ uint64) *wire.KeysPart { return k.ServePart(ask(4, 0), 5, at(0)) }, notServed},
 		{"once served, sent again by a sender that missed the acknowledgement", func(k *Keeper, token uint64) *wire.KeysPart {
-			k.Give(ask(6, 0), 5, at(0))
-			k.Give(ask(6, 1), 5, at(0))
+			k.ServePart(ask(6, 0), 5, at(0))
+			k.ServePart(ask(6, 1), 5, at(0))
 			k.Put("a", part(token, 0), at(0))
 			k.Put("a", part(token, 1), at(0))
-			return k.Give(ask(7, 0), 5, at(0))
+			return k.ServePart(ask(7, 0), 5, at(0))
 		}, notServed},
 	}
 	for _, c := range cases {
@@ -106,7 +106,7 @@
 	token = k.Offer(offer(5, 100), 5, at(0)).Token
 	require.True(t, k.Put("a", part(token, 0), at(0)).OK)
 	require.False(t, k.Put("a", part(token, 1), at(putTimeout+1)).OK, "from a process that was frozen after the first part")
-	require.Empty(t, k.Held())
+	require.Empty(t, k.Tables())
 	for n := range 3 {
 		o := offer(5, MaxBytes)
 		o.VM = fmt.Sprint(n)
@@ -118,7 +118,7 @@
 func TestLateTableIsDiscarded(t *testing.T) {
 	parts, err := Split(&attempt.KeyTable{})
 	require.NoError(t, err)
-	transfer := NewTake(at(0))
+	transfer := NewTransfer(at(0))
 	_, err = transfer.Table(at(0))
 	require.ErrorIs(t, err, ErrInvalid)
 	_, err = transfer.Add(&wire.KeysPart{})
--- a/internal/handover/parts.go
+++ b/internal/handover/parts.go
@@ -76,7 +76,7 @@
 }
 
 // Transfer assembles a table that a successor receives from a keeper.
-type Take struct {
+type Transfer struct {
 	requested Moment
 	table     attempt.KeyTable
 	next      uint32
@@ -87,13 +87,13 @@
 }
 
 // NewTransfer begins a transfer. It must be called before the first request is sent.
-func NewTake(now Moment) *Take { return &Take{requested: now} }
+func NewTransfer(now Moment) *Transfer { return &Transfer{requested: now} }
 
 // Next returns the number of the part to ask for.
-func (t *Take) Next() uint32 { return t.next }
+func (t *Transfer) Next() uint32 { return t.next }
 
 // Add appends a part and reports whether there are more.
-func (t *Take) Add(p *wire.KeysPart) (more bool, err error) {
+func (t *Transfer) Add(p *wire.KeysPart) (more bool, err error) {
 	if p.Parts == 0 {
 		return false, ErrNoTable
 	}
@@ -114,7 +114,7 @@
 }
 
 // Table returns the complete table, or ErrExpired after transferTimeout.
-func (t *Take) Table(now Moment) (*attempt.KeyTable, error) {
+func (t *Transfer) Table(now Moment) (*attempt.KeyTable, error) {
 	switch {
 	case t.total == 0 || t.next < t.total:
 		return nil, ErrInvalid
--- a/internal/headers/headers.go
+++ b/internal/headers/headers.go
@@ -71,7 +71,7 @@
 }
 
 // StripHopByHop removes the hop-by-hop headers and those listed in Connection.
-func StripHop(h http.Header) {
+func StripHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			if name = textproto.TrimString(name); name != "" {
--- a/internal/headers/load.go
+++ b/internal/headers/load.go
@@ -11,7 +11,7 @@
 	Running, Waiting, Slots int
 	// ServiceTime is how long a slot is held on average. GuardTime is how long this
 	// request was at the guard; the entry subtracts it to obtain the RTT.
-	Service, Held time.Duration
+	ServiceTime, GuardTime time.Duration
 }
 
 const loadFieldCount = 5
@@ -21,7 +21,7 @@
 func (l LoadReport) String() string {
 	text := make([]byte, 0, 32)
 	for i, v := range []int64{
-		int64(l.Running), int64(l.Waiting), int64(l.Slots), l.Service.Microseconds(), l.Held.Microseconds(),
+		int64(l.Running), int64(l.Waiting), int64(l.Slots), l.ServiceTime.Microseconds(), l.GuardTime.Microseconds(),
 	} {
 		if i > 0 {
 			text = append(text, ',')
@@ -50,6 +50,6 @@
 	}
 	return LoadReport{
 		Running: int(v[0]), Waiting: int(v[1]), Slots: int(v[2]),
-		Service: time.Duration(v[3]) * time.Microsecond, Held: time.Duration(v[4]) * time.Microsecond,
+		ServiceTime: time.Duration(v[3]) * time.Microsecond, GuardTime: time.Duration(v[4]) * time.Microsecond,
 	}, true
 }
--- a/internal/headers/load_test.go
+++ b/internal/headers/load_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestParseLoadReadsLoadReport(t *testing.T) {
-	l := LoadReport{Running: 3, Waiting: 1, Slots: 6, Service: 5 * time.Millisecond, Held: 5200 * time.Microsecond}
+	l := LoadReport{Running: 3, Waiting: 1, Slots: 6, ServiceTime: 5 * time.Millisecond, GuardTime: 5200 * time.Microsecond}
 	require.Equal(t, "3,1,6,5000,5200", l.String())
 	require.Equal(t, len("Limpetdock-Load: 3,1,6,5000,5200\r\n"), LineSize(Load, l.String()))
 	got, ok := ParseLoad(l.String())
--- a/internal/headers/replay.go
+++ b/internal/headers/replay.go
@@ -28,7 +28,7 @@
 // mistaken for proof that nothing was sent. So the request gets a body that can't
 // be rewound, and its key headers are set in lower case, which the transport
 // doesn't look up.
-func Unreplayable(r *http.Request) {
+func DisableReplay(r *http.Request) {
 	for _, name := range []string{IdempotencyKey, "X-Idempotency-Key"} {
 		if values, ok := r.Header[name]; ok {
 			delete(r.Header, name)
--- a/internal/headers/replay_test.go
+++ b/internal/headers/replay_test.go
@@ -29,7 +29,7 @@
 				r, err := http.NewRequest(method, "http://"+l.Addr().String(), nil)
 				require.NoError(t, err)
 				r.Header.Set(IdempotencyKey, "k")
-				Unreplayable(r)
+				DisableReplay(r)
 				resp, err := transport.RoundTrip(r)
 				if err == nil {
 					_, _ = io.Copy(io.Discard, resp.Body)
@@ -73,7 +73,7 @@
 	r, err := http.NewRequest(http.MethodGet, "http://a/x", nil)
 	require.NoError(t, err)
 	r.Header.Set("User-Agent", "u")
-	Unreplayable(r)
+	DisableReplay(r)
 	var wire bytes.Buffer
 	require.NoError(t, r.Write(&wire))
 	require.Equal(t, "GET /x HTTP/1.1\r\nHost: a\r\nUser-Agent: u\r\n\r\n", wire.String())
--- a/internal/inifile/fault.go
+++ b/internal/inifile/fault.go
@@ -12,13 +12,13 @@
 	File    string
 	Line    int
 	Key     string
-	Wrong   string
+	Problem string
 	Allowed string
 }
 
 // Error returns the fault in one line: file, line, key, problem and allowed values.
 func (f Fault) Error() string {
-	return fmt.Sprintf("%s:%d: %s: %s (allowed: %s)", f.File, f.Line, f.Key, f.Wrong, f.Allowed)
+	return fmt.Sprintf("%s:%d: %s: %s (allowed: %s)", f.File, f.Line, f.Key, f.Problem, f.Allowed)
 }
 
 // Faults lists every error in a file. Duplicate keys come first, then unknown
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -36,7 +36,7 @@
 type Table[S any] struct {
 	Fields []Field[S]
 	// FreeSections are sections whose keys are chosen by operators.
-	Free []string
+	FreeSections []string
 	// EmptyIsMissing treats a key without a value as missing, because templates
 	// leave the value empty if they have nothing to fill in.
 	EmptyIsMissing bool
@@ -48,7 +48,7 @@
 func (t Table[S]) Parse(file string, text []byte, s *S) (*ini.File, error) {
 	doc, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: t.EmptyIsMissing}, text)
 	if err != nil {
-		return nil, Faults{{File: file, Line: 1, Key: "file", Wrong: strings.TrimSpace(err.Error()), Allowed: "INI: [section], key = value"}}
+		return nil, Faults{{File: file, Line: 1, Key: "file", Problem: strings.TrimSpace(err.Error()), Allowed: "INI: [section], key = value"}}
 	}
 	firstLines, duplicates := indexLines(text)
 	var faults Faults
@@ -78,13 +78,13 @@
 	missing = missing || value == "" && t.EmptyIsMissing
 	switch {
 	case missing && f.Required:
-		fault.Wrong = "missing"
+		fault.Problem = "missing"
 		return fault, false
 	case missing:
 		value = f.Default
 	}
 	if err := f.Set(s, value); err != nil {
-		fault.Wrong = err.Error()
+		fault.Problem = err.Error()
 		return fault, false
 	}
 	return Fault{}, true
@@ -103,7 +103,7 @@
 	}
 	var faults Faults
 	for _, section := range doc.Sections() {
-		if slices.Contains(t.Free, section.Name()) {
+		if slices.Contains(t.FreeSections, section.Name()) {
 			continue
 		}
 		for _, key := range section.Keys() {
@@ -114,7 +114,7 @@
 			}
 			allowedText := strings.Join(allowed, ", ")
 			if !ok {
-				allowedText = "sections " + strings.Join(append(sections, t.Free...), ", ")
+				allowedText = "sections " + strings.Join(append(sections, t.FreeSections...), ", ")
 			}
 			faults = append(faults, Fault{file, max(firstLines[id], 1), id, "unknown key", allowedText})
 		}
--- a/internal/kind/answer.go
+++ b/internal/kind/answer.go
@@ -28,7 +28,7 @@
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	h.Set(headers.Outcome, string(e.Said()))
+	h.Set(headers.Outcome, string(e.ReportedOutcome()))
 	h.Set(headers.Kind, string(e.Kind))
 	if row.Retry {
 		h.Set("Retry-After", retryAfterSeconds(e.RetryAfter))
--- a/internal/kind/kind.go
+++ b/internal/kind/kind.go
@@ -193,7 +193,7 @@
 func (e *Error) Unwrap() error { return e.Cause }
 
 // ReportedOutcome returns the outcome that is reported to the caller.
-func (e *Error) Said() Outcome {
+func (e *Error) ReportedOutcome() Outcome {
 	if e.Outcome != "" {
 		return e.Outcome
 	}
@@ -201,17 +201,17 @@
 }
 
 // MayTryOtherTarget reports whether a request may be sent to another target after e.
-func (e *Error) MayMove(idempotent bool) bool {
+func (e *Error) MayTryOtherTarget(idempotent bool) bool {
 	next := answers[e.Kind].Disposition
 	return next == RetryElsewhere || next == RetryUncounted || next == RetryIfIdempotent && idempotent
 }
 
 // RetryIsUncounted reports whether a retry after e does not count against the
 // limits on retries, because the request did not reach a backend server.
-func (e *Error) Free() bool { return answers[e.Kind].Disposition == RetryUncounted }
+func (e *Error) RetryIsUncounted() bool { return answers[e.Kind].Disposition == RetryUncounted }
 
 // WithCause sets the cause and returns e.
-func (e *Error) Because(err error) *Error {
+func (e *Error) WithCause(err error) *Error {
 	e.Cause = err
 	return e
 }
@@ -223,7 +223,7 @@
 	if errors.As(err, &e) {
 		return e
 	}
-	return New(OutcomeUnknown, "the request failed with an unexpected error").Because(err)
+	return New(OutcomeUnknown, "the request failed with an unexpected error").WithCause(err)
 }
 
 // maxClippedBytes is how much of a caller's text a message quotes.
--- a/internal/kind/kind_test.go
+++ b/internal/kind/kind_test.go
@@ -19,7 +19,7 @@
 		require.True(t, ok, k)
 		require.GreaterOrEqual(t, row.Status, 200, k)
 		require.Contains(t, []kind.Outcome{kind.NotRun, kind.Unknown}, row.Outcome, k)
-		if kind.New(k, "").MayMove(false) {
+		if kind.New(k, "").MayTryOtherTarget(false) {
 			require.Equal(t, kind.NotRun, row.Outcome, "%s may be sent to another target only if it was not run", k)
 		}
 	}
@@ -35,7 +35,7 @@
 		require.NotNil(t, got)
 		require.Equal(t, k, got.Kind)
 		require.Equal(t, "because 7", got.Message)
-		require.Equal(t, sent.Said(), got.Said())
+		require.Equal(t, sent.ReportedOutcome(), got.ReportedOutcome())
 		row, _ := kind.AnswerOf(k)
 		if row.Retry {
 			require.Equal(t, 2*time.Second, got.RetryAfter, "whole seconds, rounded up")
@@ -56,7 +56,7 @@
 // report that it didn't.
 func TestUnexpectedErrorHasUnknownOutcome(t *testing.T) {
 	e := kind.From(errors.New("anything"))
-	require.Equal(t, kind.Unknown, e.Said())
+	require.Equal(t, kind.Unknown, e.ReportedOutcome())
 }
 
 // An attempt ran at a target, whose VM is then replaced by one of another fleet
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -77,7 +77,7 @@
 	require.Equal(t, 90, admitted(table, "operations", &read, 90), "the other team can use its whole limit")
 	_, e := table.Admit("manifest", &read)
 	require.Equal(t, kind.OverLimit, e.Kind)
-	require.Equal(t, kind.NotRun, e.Said())
+	require.Equal(t, kind.NotRun, e.ReportedOutcome())
 	require.GreaterOrEqual(t, e.RetryAfter, retryAfter)
 }
 
--- a/internal/link/frame.go
+++ b/internal/link/frame.go
@@ -20,7 +20,7 @@
 )
 
 // pace is the minimum progress of a frame that has begun.
-var pace = progress.Pace{Stall: frameTimeout, Rate: chunkBytes / 2}
+var pace = progress.Pace{StallTimeout: frameTimeout, BytesPerSecond: chunkBytes / 2}
 
 // frameReader reads one frame and enforces its pace. The first byte must arrive
 // before the read deadline already set on conn.
@@ -48,7 +48,7 @@
 		r.start = now
 	}
 	r.read += int64(n)
-	_ = r.conn.SetReadDeadline(now.Add(pace.Next(r.read, now.Sub(r.start))))
+	_ = r.conn.SetReadDeadline(now.Add(pace.NextTimeout(r.read, now.Sub(r.start))))
 	return n, err
 }
 
--- a/internal/link/slow_test.go
+++ b/internal/link/slow_test.go
@@ -47,7 +47,7 @@
 	case *wire.Fetch:
 		return &wire.Document{Text: l.text}
 	case *wire.KeysPart:
-		return &wire.KeysKept{OK: true}
+		return &wire.KeysAck{OK: true}
 	}
 	return nil
 }
@@ -90,7 +90,7 @@
 		reply   wire.Message
 	}{
 		{"a large reply", &wire.Fetch{}, &wire.Document{Text: make([]byte, documentSize)}},
-		{"a large request", &wire.KeysPart{Data: make([]byte, documentSize)}, &wire.KeysKept{OK: true}},
+		{"a large request", &wire.KeysPart{Data: make([]byte, documentSize)}, &wire.KeysAck{OK: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -181,6 +181,6 @@
 		defer cancel()
 		reply, err := d.Call(ctx, "a", &wire.KeysPart{Data: make([]byte, documentSize)})
 		require.NoError(t, err)
-		require.Equal(t, &wire.KeysKept{OK: true}, reply)
+		require.Equal(t, &wire.KeysAck{OK: true}, reply)
 	})
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -108,7 +108,7 @@
 		require.Greater(t, r.All.Latency.P90, 800.0)
 		require.Less(t, r.All.Latency.P50, 1.5)
 		require.Less(t, r.All.FromSending.P99, 1.5, "latency as closed-loop measurement would report it")
-		require.False(t, r.Kept(), "two workers can't keep the schedule")
+		require.False(t, r.ScheduleKept(), "two workers can't keep the schedule")
 		require.InDelta(t, 1990, r.WorstLateMs, 15)
 		require.Greater(t, r.Timeline[4].Latency.P50, 1000.0)
 		require.Less(t, r.Timeline[8].Latency.P99, 1.5)
@@ -125,7 +125,7 @@
 		p.Arrivals = Constant
 		r := Run(ctx, p, Options{Sender: stallingSender{start: time.Now()}})
 		require.InDelta(t, 250, r.All.Calls, 2)
-		require.True(t, r.Kept())
+		require.True(t, r.ScheduleKept())
 	})
 }
 
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -96,7 +96,7 @@
 
 // ScheduleKept reports whether the schedule was kept: at most one call in a thousand began
 // late. Otherwise the figures also reflect limits of the sender itself.
-func (r *Report) Kept() bool {
+func (r *Report) ScheduleKept() bool {
 	const perMille = 1000
 	return r.Late*perMille <= r.All.Calls
 }
@@ -104,7 +104,7 @@
 // WriteText writes the report as human-readable text.
 func (r *Report) WriteText(w io.Writer) error {
 	fmt.Fprintf(w, "%d calls in %.1f s, %s arrivals at %g/s, seed %d\n", r.All.Calls, r.Took, r.Arrivals, r.Rate, r.Seed)
-	if !r.Kept() {
+	if !r.ScheduleKept() {
 		fmt.Fprintf(w, "SCHEDULE NOT KEPT: %d calls began more than %v late, the worst %.1f ms\n", r.Late, lateThreshold, r.WorstLateMs)
 	}
 	fmt.Fprintln(w, "latency in ms from the scheduled time; good: whole answers within the deadline")
--- a/internal/mesh/check.go
+++ b/internal/mesh/check.go
@@ -33,7 +33,7 @@
 		return eris.Errorf("prefix %q doesn't begin and end with a slash", r.Prefix)
 	case r.Timeout <= 0:
 		return eris.New("no timeout")
-	case r.Aim < 0, r.MaxTargets < 0, r.Priority < 0:
+	case r.LatencyObjective < 0, r.MaxTargets < 0, r.Priority < 0:
 		return eris.New("a latency objective, target limit or priority is negative")
 	case len(r.Shares) == 0:
 		return eris.New("no service")
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -51,13 +51,13 @@
 	Idempotent bool
 	// Timeout is the longest time that a caller waits for an answer. LatencyObjective is the
 	// time within which answers should arrive; a later one is of little use to the caller.
-	Timeout, Aim time.Duration
+	Timeout, LatencyObjective time.Duration
 	// MaxTargets is how many targets may run one request of a caller.
 	MaxTargets int
 	// Priority ranks routes; 0 is the highest priority.
 	Priority int
 	// Splitter divides requests among Shares. It is kept when a new Config replaces this one.
-	Weights *Weights
+	Splitter *Splitter
 }
 
 // objectivePerServiceTime is the assumed ratio of a route's latency objective to the base
@@ -67,7 +67,9 @@
 
 // AssumedBaseServiceTime returns the base service time to assume for the route's requests
 // until it has been measured, or 0 if it is unknown.
-func (r *Route) AssumedWork() time.Duration { return r.Aim / objectivePerServiceTime }
+func (r *Route) AssumedBaseServiceTime() time.Duration {
+	return r.LatencyObjective / objectivePerServiceTime
+}
 
 // Share is a service with the weight of its part of a route's requests.
 type Share struct {
--- a/internal/mesh/config_test.go
+++ b/internal/mesh/config_test.go
@@ -70,7 +70,7 @@
 			shares[i] = mesh.Share{Service: string(rune('a' + i)), Weight: w}
 			total += w
 		}
-		var w mesh.Weights
+		var w mesh.Splitter
 		got := map[string]int{}
 		const requests = 300
 		for range requests {
@@ -88,7 +88,7 @@
 	shares := []mesh.Share{{Service: "a", Weight: 50}, {Service: "b", Weight: 50}}
 	first := map[string]int{}
 	for range 200 {
-		var w mesh.Weights
+		var w mesh.Splitter
 		first[w.Next(shares)]++
 	}
 	require.Greater(t, first["a"], 50)
--- a/internal/mesh/directory/directory.go
+++ b/internal/mesh/directory/directory.go
@@ -55,7 +55,7 @@
 	regions  map[string]string
 	peerPort string
 	config   *mesh.Config
-	weights  map[string]*mesh.Weights
+	weights  map[string]*mesh.Splitter
 	records  map[string]*targetRecord
 	// ended are the records of targets that were in use until their registration ended.
 	ended map[string]endedRecord
@@ -75,7 +75,7 @@
 func New(here mesh.Place, own string, regions map[string]string, peerPort string) *State {
 	return &State{
 		here: here, own: own, regions: regions, peerPort: peerPort,
-		weights: map[string]*mesh.Weights{}, records: map[string]*targetRecord{}, ended: map[string]endedRecord{}, recoveredAt: -expiryGrace,
+		weights: map[string]*mesh.Splitter{}, records: map[string]*targetRecord{}, ended: map[string]endedRecord{}, recoveredAt: -expiryGrace,
 	}
 }
 
@@ -89,10 +89,10 @@
 	for _, r := range c.Routes() {
 		w := s.weights[r.Name]
 		if w == nil {
-			w = &mesh.Weights{}
+			w = &mesh.Splitter{}
 			s.weights[r.Name] = w
 		}
-		r.Weights = w
+		r.Splitter = w
 	}
 	s.config, s.dirty = c, true
 	return true
@@ -178,7 +178,7 @@
 			continue
 		}
 		if rec.Addr == s.own {
-			v.Own = t
+			v.LocalTarget = t
 		} else {
 			v.Peers[t.Peer] = mesh.Peer{Zone: t.Zone, Distance: t.Distance}
 		}
--- a/internal/mesh/directory/directory_test.go
+++ b/internal/mesh/directory/directory_test.go
@@ -48,7 +48,7 @@
 func TestViewListsTargetsNearestFirst(t *testing.T) {
 	v := populatedState(t).Tick(0)
 	require.Equal(t, []string{"i-own", "i-zone", "i-far"}, ids(v))
-	require.Equal(t, "i-own", v.Own.ID)
+	require.Equal(t, "i-own", v.LocalTarget.ID)
 	require.Equal(t, map[string]mesh.Peer{
 		"10.2.0.1:8300": {Zone: "rs-b", Distance: place.SameRegion}, "10.3.0.1:8300": {Zone: "sc-a", Distance: place.OtherRegion},
 	}, v.Peers)
--- a/internal/mesh/directory/loop.go
+++ b/internal/mesh/directory/loop.go
@@ -34,9 +34,9 @@
 		ID       string
 	}
 	// StoreUnavailable is sent when the store doesn't answer.
-	StoreLost struct{ Err error }
+	StoreUnavailable struct{ Err error }
 	// StoreRecovered is sent when the store answers again.
-	StoreRegained struct{}
+	StoreRecovered struct{}
 	// StoreAnswered is sent when the store has answered this node at a revision. It
 	// follows the events of the answer.
 	StoreAnswered struct{ Revision uint64 }
@@ -46,38 +46,38 @@
 
 func (e ConfigRead) apply(l *Loop, _ time.Duration) {
 	if l.state.Configure(e.Config, e.Revision) {
-		l.log.Change("configuration in force", "version", e.Config.Version, "routes", len(e.Config.Routes()))
+		l.log.Info("configuration in force", "version", e.Config.Version, "routes", len(e.Config.Routes()))
 		return
 	}
-	l.log.Change("configuration ignored: not newer than the one in force", "version", e.Config.Version)
+	l.log.Info("configuration ignored: not newer than the one in force", "version", e.Config.Version)
 }
 
 func (e TargetsRead) apply(l *Loop, now time.Duration) {
 	l.state.Replace(now, e.Revision, e.Targets)
-	l.log.Change("targets read", "revision", e.Revision, "targets", len(e.Targets))
+	l.log.Info("targets read", "revision", e.Revision, "targets", len(e.Targets))
 }
 
 func (e TargetChanged) apply(l *Loop, now time.Duration) {
 	r := e.Registration
 	l.state.Put(now, r)
-	l.log.Change("target changed", "target", r.ID, "service", r.Service, "address", r.Addr, "draining", r.State == mesh.Draining, "revision", r.Revision)
+	l.log.Info("target changed", "target", r.ID, "service", r.Service, "address", r.Addr, "draining", r.State == mesh.Draining, "revision", r.Revision)
 }
 
 func (e TargetRemoved) apply(l *Loop, now time.Duration) {
 	inGrace := l.state.inGracePeriod(now)
 	l.state.Remove(now, e.Revision, e.ID)
-	l.log.Change("target's registration ended", "target", e.ID, "revision", e.Revision, "store_was_away", inGrace)
+	l.log.Info("target's registration ended", "target", e.ID, "revision", e.Revision, "store_was_away", inGrace)
 }
 
-func (e StoreLost) apply(l *Loop, now time.Duration) {
+func (e StoreUnavailable) apply(l *Loop, now time.Duration) {
 	if l.state.MarkUnavailable(now) {
-		l.log.Trouble("store lost", "error", e.Err.Error())
+		l.log.Warn("store lost", "error", e.Err.Error())
 	}
 }
 
-func (e StoreRegained) apply(l *Loop, now time.Duration) {
+func (e StoreRecovered) apply(l *Loop, now time.Duration) {
 	if l.state.MarkAvailable(now) {
-		l.log.Change("store regained")
+		l.log.Info("store regained")
 	}
 }
 
@@ -107,7 +107,7 @@
 
 // OnOwnRegistrationEnded sets the function to call when the registration of the local backend
 // server has ended. It must be called before Run.
-func (l *Loop) OnOwnEnded(f func()) { l.onOwnEnded = f }
+func (l *Loop) OnOwnRegistrationEnded(f func()) { l.onOwnEnded = f }
 
 // Take queues a batch of events that result in a single View.
 func (l *Loop) Take(ctx context.Context, events ...Event) {
--- a/internal/mesh/entry/choose.go
+++ b/internal/mesh/entry/choose.go
@@ -93,7 +93,7 @@
 func (t *transaction) candidates() []candidate {
 	all := t.view.Targets[t.service]
 	bytes, baseServiceTime := t.stats.expected()
-	baseServiceTime = cmp.Or(baseServiceTime, t.route.AssumedWork())
+	baseServiceTime = cmp.Or(baseServiceTime, t.route.AssumedBaseServiceTime())
 	list := make([]candidate, 0, len(all))
 	var avoided []candidate
 	for _, target := range all {
--- a/internal/mesh/entry/describe.go
+++ b/internal/mesh/entry/describe.go
@@ -22,7 +22,7 @@
 		pairs = append(pairs, "offers", t.describeAttempts())
 	}
 	if err != nil {
-		return append(pairs, "outcome", err.Said(), "kind", err.Kind, "message", err.Message, "retry_after_ms", err.RetryAfter.Milliseconds())
+		return append(pairs, "outcome", err.ReportedOutcome(), "kind", err.Kind, "message", err.Message, "retry_after_ms", err.RetryAfter.Milliseconds())
 	}
 	return append(pairs, "outcome", "answered", "status", a.Status, "bytes", len(a.Body))
 }
--- a/internal/mesh/entry/entry.go
+++ b/internal/mesh/entry/entry.go
@@ -179,7 +179,7 @@
 	defer cancel()
 	answer, err := t.run(wait)
 	if err != nil && ctx.Err() != nil {
-		err = kind.New(kind.OutcomeUnknown, "the caller left").Because(ctx.Err())
+		err = kind.New(kind.OutcomeUnknown, "the caller left").WithCause(ctx.Err())
 	}
 	e.record(t, answer, err)
 	return answer, err
@@ -200,7 +200,7 @@
 		return t, kind.New(kind.UnknownService, "no route for %s%s", kind.Clip(in.Host), kind.Clip(in.Path))
 	}
 	t.stats = e.routeStats(t.route.Name)
-	t.service = t.route.Weights.Next(t.route.Shares)
+	t.service = t.route.Splitter.Next(t.route.Shares)
 	timeout := t.route.Timeout
 	if in.Timeout > 0 && (timeout == 0 || in.Timeout < timeout) {
 		timeout = in.Timeout
@@ -209,8 +209,8 @@
 		timeout = defaultTimeout
 	}
 	t.deadline = in.Arrived + timeout
-	t.objective = in.Arrived + min(t.route.Aim, timeout)
-	if t.route.Aim == 0 {
+	t.objective = in.Arrived + min(t.route.LatencyObjective, timeout)
+	if t.route.LatencyObjective == 0 {
 		t.objective = t.deadline
 	}
 	if refusal := t.refuseIfStopping(); refusal != nil {
@@ -258,5 +258,5 @@
 		k = err.Kind
 	}
 	e.Observer.Answered(t.service, k, took)
-	e.Log.Decide("request ended", t.describe(a, err, took)...)
+	e.Log.InfoLimited("request ended", t.describe(a, err, took)...)
 }
--- a/internal/mesh/entry/entry_test.go
+++ b/internal/mesh/entry/entry_test.go
@@ -84,10 +84,10 @@
 			ID: "i-" + name, Service: "orders", Peer: name, Slots: 6, Distance: distances[name], Stat: &mesh.Stat{},
 		})
 	}
-	d.targets[2].Stat.Report(mesh.Load{Running: 3, Slots: 6, Service: 80 * time.Millisecond, Slowdown: 1}, d.now)
+	d.targets[2].Stat.Report(mesh.Load{Running: 3, Slots: 6, ServiceTime: 80 * time.Millisecond, Slowdown: 1}, d.now)
 	d.route = &mesh.Route{
 		Name: "r", Host: "h", Prefix: "/", Shares: []mesh.Share{{Service: "orders", Weight: 1}}, Idempotent: idempotent,
-		Timeout: time.Second, Aim: 300 * time.Millisecond, MaxTargets: 2, Weights: &mesh.Weights{},
+		Timeout: time.Second, LatencyObjective: 300 * time.Millisecond, MaxTargets: 2, Splitter: &mesh.Splitter{},
 	}
 	d.publishView()
 	return d
@@ -111,7 +111,7 @@
 
 // setBusy makes targets report that all slots are used and some requests wait.
 func (d *deployment) setBusy(waiting int, names ...string) {
-	full := mesh.Load{Running: 6, Waiting: waiting, Slots: 6, Service: 100 * time.Millisecond, Slowdown: 1}
+	full := mesh.Load{Running: 6, Waiting: waiting, Slots: 6, ServiceTime: 100 * time.Millisecond, Slowdown: 1}
 	for _, t := range d.targets {
 		for _, name := range names {
 			if t.Peer != name {
@@ -132,7 +132,7 @@
 		d := newDeployment(t, false)
 		d.answers[own] = failing(k)
 		_, err := d.serve()
-		require.Equal(t, kind.Unknown, err.Said(), k)
+		require.Equal(t, kind.Unknown, err.ReportedOutcome(), k)
 		require.Equal(t, []string{own}, d.attempted, k)
 	}
 }
@@ -157,7 +157,7 @@
 		d.answers[name] = failing(kind.Overloaded)
 	}
 	_, err := d.serve()
-	require.Equal(t, kind.Unknown, err.Said())
+	require.Equal(t, kind.Unknown, err.ReportedOutcome())
 }
 
 func TestIdempotentRequestIsRetriedOnAnotherTarget(t *testing.T) {
@@ -227,9 +227,9 @@
 	d.targets = d.targets[:1]
 	d.publishView()
 	d.answers[own] = func(r *mesh.Request) (*mesh.Answer, *kind.Error) {
-		baseServiceTime = r.Work
+		baseServiceTime = r.BaseServiceTime
 		d.now += 400 * time.Millisecond
-		return &mesh.Answer{Status: 200, Header: http.Header{}, Work: 100 * time.Millisecond}, nil
+		return &mesh.Answer{Status: 200, Header: http.Header{}, BaseServiceTime: 100 * time.Millisecond}, nil
 	}
 	for range 20 {
 		_, err := d.serve()
@@ -258,7 +258,7 @@
 	waits := map[string]time.Duration{own: 400 * time.Millisecond, "zone": 100 * time.Millisecond, "region": 300 * time.Millisecond, "far": 500 * time.Millisecond}
 	for name, wait := range waits {
 		d.answers[name] = func(r *mesh.Request) (*mesh.Answer, *kind.Error) {
-			if r.Patience > wait {
+			if r.QueueTimeout > wait {
 				return answered(200)(r)
 			}
 			return nil, &kind.Error{Kind: kind.Overloaded, Wait: wait}
@@ -290,12 +290,12 @@
 	d.targets = []*mesh.Target{d.targets[0], d.targets[3]}
 	d.publishView()
 	d.entry.SetPrices(entry.Prices{ZonePerKB: 10 * time.Millisecond, RegionPerKB: 80 * time.Millisecond})
-	d.load = mesh.Load{Running: 6, Waiting: 6, Slots: 6, Service: 100 * time.Millisecond, Slowdown: 1}
-	d.route.Aim = 150 * time.Millisecond
+	d.load = mesh.Load{Running: 6, Waiting: 6, Slots: 6, ServiceTime: 100 * time.Millisecond, Slowdown: 1}
+	d.route.LatencyObjective = 150 * time.Millisecond
 	_, err := d.serve()
 	require.Nil(t, err)
 	require.Equal(t, []string{"far"}, d.attempted)
-	d.attempted, d.route.Aim = nil, 900*time.Millisecond
+	d.attempted, d.route.LatencyObjective = nil, 900*time.Millisecond
 	_, err = d.serve()
 	require.Nil(t, err)
 	require.Equal(t, []string{own}, d.attempted)
@@ -310,17 +310,17 @@
 	d.targets = []*mesh.Target{d.targets[0], d.targets[3]}
 	d.publishView()
 	d.entry.SetPrices(entry.Prices{ZonePerKB: 10 * time.Millisecond, RegionPerKB: 200 * time.Millisecond})
-	d.route.Aim, d.route.Timeout = 300*time.Millisecond, 5*time.Second
+	d.route.LatencyObjective, d.route.Timeout = 300*time.Millisecond, 5*time.Second
 	var queueTimeout time.Duration
 	d.answers[own] = func(r *mesh.Request) (*mesh.Answer, *kind.Error) {
-		queueTimeout = r.Patience
+		queueTimeout = r.QueueTimeout
 		return answered(200)(r)
 	}
 	_, err := d.serve()
 	require.Nil(t, err)
 	require.Equal(t, []string{own}, d.attempted)
 	require.Positive(t, queueTimeout)
-	require.Less(t, queueTimeout, d.route.Aim)
+	require.Less(t, queueTimeout, d.route.LatencyObjective)
 }
 
 // Every queue is longer than the request can wait. It must be refused at once, with the time
@@ -335,7 +335,7 @@
 	}
 	_, err := d.serve()
 	require.Equal(t, kind.Overloaded, err.Kind)
-	require.Equal(t, kind.NotRun, err.Said())
+	require.Equal(t, kind.NotRun, err.ReportedOutcome())
 	require.Greater(t, err.RetryAfter, time.Second)
 }
 
@@ -353,7 +353,7 @@
 	d.attempted = nil
 	_, err = d.serve()
 	require.Equal(t, kind.Leaving, err.Kind)
-	require.Equal(t, kind.NotRun, err.Said())
+	require.Equal(t, kind.NotRun, err.ReportedOutcome())
 	require.Empty(t, d.attempted)
 }
 
@@ -366,7 +366,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	d.answers[own] = func(*mesh.Request) (*mesh.Answer, *kind.Error) {
 		cancel()
-		return nil, kind.New(kind.OutcomeUnknown, "the caller left").Because(context.Canceled)
+		return nil, kind.New(kind.OutcomeUnknown, "the caller left").WithCause(context.Canceled)
 	}
 	_, err := d.entry.Serve(ctx, d.request(0))
 	require.Equal(t, kind.OutcomeUnknown, err.Kind)
@@ -383,7 +383,7 @@
 	e := entry.New(entry.Config{Observer: observer{}, Now: func() time.Duration { return d.now }})
 	_, err := e.Serve(t.Context(), d.request(0))
 	require.Equal(t, kind.NotReady, err.Kind)
-	require.Equal(t, kind.NotRun, err.Said())
+	require.Equal(t, kind.NotRun, err.ReportedOutcome())
 	require.GreaterOrEqual(t, err.RetryAfter, 100*time.Millisecond)
 }
 
@@ -402,7 +402,7 @@
 	d := newDeployment(t, true)
 	var remaining time.Duration
 	d.answers[own] = func(r *mesh.Request) (*mesh.Answer, *kind.Error) {
-		remaining = r.Left
+		remaining = r.Remaining
 		return answered(200)(r)
 	}
 	r := d.request(0)
--- a/internal/mesh/entry/run.go
+++ b/internal/mesh/entry/run.go
@@ -43,7 +43,7 @@
 		}
 		c, queueTimeout, refusal := t.next()
 		if refusal != nil {
-			if last == nil || last.Said() == kind.NotRun {
+			if last == nil || last.ReportedOutcome() == kind.NotRun {
 				last = refusal
 			}
 			break
@@ -136,8 +136,8 @@
 		ID: t.in.ID, Method: t.in.Method, URI: t.in.URI, Host: t.in.Host, Header: t.in.Header.Clone(), Body: t.in.Body,
 		Caller: e.Here.Service, Service: t.service, Target: c.target.ID,
 		Idempotent: t.route.Idempotent, Priority: t.route.Priority,
-		Left: t.deadline - start - answerMargin/2 - rttTo[c.target.Distance]/2, Patience: queueTimeout,
-		Work: baseServiceTime, AimLeft: t.objective - start - rttTo[c.target.Distance],
+		Remaining: t.deadline - start - answerMargin/2 - rttTo[c.target.Distance]/2, QueueTimeout: queueTimeout,
+		BaseServiceTime: baseServiceTime, ObjectiveRemaining: t.objective - start - rttTo[c.target.Distance],
 	}
 	c.target.Stat.Begin()
 	var answer *mesh.Answer
@@ -163,15 +163,15 @@
 			t.entry.Observer.Forecast(t.service, a.expected, took)
 		}
 		c.target.Stat.End(now, failed, true)
-		if answer.Work > 0 {
-			t.stats.add(len(answer.Body), answer.Work)
+		if answer.BaseServiceTime > 0 {
+			t.stats.add(len(answer.Body), answer.BaseServiceTime)
 		}
 		t.attempts = append(t.attempts, a)
 		return
 	}
 	a.kind = err.Kind
 	t.attempts = append(t.attempts, a)
-	if err.Said() != kind.NotRun {
+	if err.ReportedOutcome() != kind.NotRun {
 		t.sent++
 	}
 	t.recordError(c.target, err, now)
@@ -225,10 +225,10 @@
 
 // mayFailOver reports whether the request may be sent to another target after err.
 func (t *transaction) mayFailOver(err *kind.Error) bool {
-	if !err.MayMove(t.route.Idempotent) || t.sent >= max(t.route.MaxTargets, 1) {
+	if !err.MayTryOtherTarget(t.route.Idempotent) || t.sent >= max(t.route.MaxTargets, 1) {
 		return false
 	}
-	if err.FromBackend || err.Said() != kind.NotRun {
+	if err.FromBackend || err.ReportedOutcome() != kind.NotRun {
 		// Only requests that reached a backend server count against the retry budget.
 		return t.entry.retryBudget(t.service).Repeat(t.entry.Now())
 	}
@@ -244,7 +244,7 @@
 	if t.sent > 0 {
 		last.Outcome = kind.Unknown
 	}
-	if last.Said() == kind.NotRun && last.RetryAfter == 0 {
+	if last.ReportedOutcome() == kind.NotRun && last.RetryAfter == 0 {
 		last.RetryAfter = t.retryAfter()
 	}
 	return last
--- a/internal/mesh/exchange/exchange_test.go
+++ b/internal/mesh/exchange/exchange_test.go
@@ -190,7 +190,7 @@
 		_, _ = c.reader.ReadByte()
 	})
 	big := message("a")
-	big.Method, big.Body, big.Once = "POST", make([]byte, 32<<20), true
+	big.Method, big.Body, big.AtMostOnce = "POST", make([]byte, 32<<20), true
 	a, f := client.Do(t.Context(), big, always)
 	require.Nil(t, f)
 	require.Equal(t, "early", string(a.Body))
@@ -307,7 +307,7 @@
 	require.Nil(t, f)
 	<-closed
 	once := message("b")
-	once.Once = true
+	once.AtMostOnce = true
 	require.Eventually(t, func() bool {
 		_, f := client.Do(t.Context(), once, always)
 		return f == nil
--- a/internal/mesh/exchange/pool.go
+++ b/internal/mesh/exchange/pool.go
@@ -85,7 +85,7 @@
 	Header            http.Header
 	Body              []byte
 	// AtMostOnce marks a request that must not run twice.
-	Once bool
+	AtMostOnce bool
 }
 
 func (m *Message) request() *http.Request {
@@ -107,7 +107,7 @@
 // first byte is written. When ctx ends the connection is closed, by which most backend
 // servers notice that the answer is no longer awaited.
 func (c *Client) Do(ctx context.Context, m *Message, allow func() bool) (*mesh.Answer, *Failure) {
-	pc, err := c.acquire(ctx, m.Once)
+	pc, err := c.acquire(ctx, m.AtMostOnce)
 	if err != nil {
 		return nil, &Failure{Unreachable, err}
 	}
--- a/internal/mesh/forecast.go
+++ b/internal/mesh/forecast.go
@@ -29,8 +29,8 @@
 	baseServiceTime = cmp.Or(baseServiceTime, assumedServiceTime)
 	e := t.Stat.Estimate(now)
 	if now < t.WarmAt && (!e.Known || e.Age > slowdownMemory) {
-		e.Standing = max(e.Standing, coldStartFactor)
-		e.Slowdown = max(e.Slowdown, e.Standing)
+		e.SustainedSlowdown = max(e.SustainedSlowdown, coldStartFactor)
+		e.Slowdown = max(e.Slowdown, e.SustainedSlowdown)
 	}
 	return Forecast{Estimate: e, Wait: e.wait(t.Slots), ExpectedServiceTime: baseServiceTime + e.SlowdownDelay(baseServiceTime)}
 }
@@ -41,7 +41,7 @@
 func (e Estimate) SlowdownDelay(baseServiceTime time.Duration) time.Duration {
 	delay := time.Duration(float64(baseServiceTime) * (e.Slowdown - 1))
 	if e.RecoversIn > 0 {
-		delay = min(delay, e.RecoversIn+time.Duration(float64(baseServiceTime)*(e.Standing-1)))
+		delay = min(delay, e.RecoversIn+time.Duration(float64(baseServiceTime)*(e.SustainedSlowdown-1)))
 	}
 	return max(delay, 0)
 }
--- a/internal/mesh/front/conn.go
+++ b/internal/mesh/front/conn.go
@@ -152,7 +152,7 @@
 		case resp = <-p.done:
 		case <-c.ctx.Done():
 			// The caller has disconnected; requests in flight end by themselves.
-			c.server.Counts.Left.Add(1)
+			c.server.Counts.Abandoned.Add(1)
 			resp = <-p.done
 			failed = true
 		}
--- a/internal/mesh/front/front_test.go
+++ b/internal/mesh/front/front_test.go
@@ -220,10 +220,10 @@
 	}})
 	c.get("/")
 	<-running
-	require.False(t, s.Finish())
+	require.False(t, s.StopIfIdle())
 	close(release)
 	c.answer()
-	require.Eventually(t, s.Finish, time.Minute, time.Millisecond)
+	require.Eventually(t, s.StopIfIdle, time.Minute, time.Millisecond)
 	c.get("/")
 	s.Close()
 	_, err := c.reader.ReadByte()
--- a/internal/mesh/front/server.go
+++ b/internal/mesh/front/server.go
@@ -59,7 +59,7 @@
 type Counts struct {
 	// Accepted counts connections, Requests those read completely, Rejected those that
 	// could not be read, and Abandoned those whose caller disconnected before the answer.
-	Accepted, Requests, Rejected, Left atomic.Uint64
+	Accepted, Requests, Rejected, Abandoned atomic.Uint64
 }
 
 // New returns a Server that answers with h.
@@ -67,7 +67,7 @@
 
 // Serve accepts connections on l until it is closed.
 func (s *Server) Serve(l net.Listener) error {
-	accept.Loop(l, accept.Pause, func() {}, func(c net.Conn) {
+	accept.Loop(l, accept.RetryDelay, func() {}, func(c net.Conn) {
 		s.Counts.Accepted.Add(1)
 		go s.serve(c)
 	})
@@ -82,7 +82,7 @@
 
 // StopIfIdle stops admitting requests if none is being served, and reports whether it did.
 // It returns false if a request is read at the same moment.
-func (s *Server) Finish() bool {
+func (s *Server) StopIfIdle() bool {
 	s.closed.Store(true)
 	if s.active.Load() == 0 {
 		return true
--- a/internal/mesh/front/write.go
+++ b/internal/mesh/front/write.go
@@ -12,7 +12,7 @@
 
 // endToEnd removes the headers of the connection from those of a request.
 func endToEnd(h http.Header) http.Header {
-	headers.StripHop(h)
+	headers.StripHopByHop(h)
 	for _, name := range []string{"Content-Length", "Expect"} {
 		h.Del(name)
 	}
@@ -30,7 +30,7 @@
 func writeResponse(w *bufio.Writer, method string, r *Response, last bool, idle time.Duration) error {
 	h := r.Header
 	length := h.Get("Content-Length")
-	headers.StripHop(h)
+	headers.StripHopByHop(h)
 	h.Del("Content-Length")
 	switch {
 	case last:
--- a/internal/mesh/guard/guard.go
+++ b/internal/mesh/guard/guard.go
@@ -36,7 +36,7 @@
 	Now func() time.Duration
 	Log *decision.Log
 	// Changed is called after a change of the load that must be sent to the entries.
-	Changed func(urgent bool)
+	LoadChanged func(urgent bool)
 }
 
 // Guard is the guard role of a node. Safe for concurrent use.
@@ -68,7 +68,7 @@
 
 // SetSlotShare sets the share of the declared slots that is used. With 0 the guard learns
 // the number of concurrent requests at which the backend server has the most throughput.
-func (g *Guard) SetFill(share float64) {
+func (g *Guard) SetSlotShare(share float64) {
 	g.slotShare.Store(math.Float64bits(share))
 	if v := g.view.Load(); v != nil {
 		g.updateLimits(v)
@@ -82,24 +82,24 @@
 // SetView applies a new View.
 func (g *Guard) SetView(v *mesh.View) {
 	g.view.Store(v)
-	own := v.Own
+	own := v.LocalTarget
 	leaving := own == nil || own.State == mesh.Draining
 	g.updateLimits(v)
 	if own != nil {
 		g.slowdown.setWarmAt(own.WarmAt)
 	}
 	if g.leaving.Swap(leaving) != leaving {
-		g.Changed(true)
+		g.LoadChanged(true)
 	}
 }
 
 func (g *Guard) updateLimits(v *mesh.View) {
-	if v.Own == nil {
+	if v.LocalTarget == nil {
 		return
 	}
-	limits := gate.Limits{Slots: v.Own.Slots, Order: gate.OrderInTime, LearnedLimit: true}
+	limits := gate.Limits{Slots: v.LocalTarget.Slots, Order: gate.OrderInTime, LearnedLimit: true}
 	if share := math.Float64frombits(g.slotShare.Load()); share > 0 {
-		limits.Slots = max(int(float64(v.Own.Slots)*share+roundingSlack), 1)
+		limits.Slots = max(int(float64(v.LocalTarget.Slots)*share+roundingSlack), 1)
 		limits.LearnedLimit = false
 	}
 	limits.Queue = queuePerSlot * limits.Slots
@@ -113,7 +113,7 @@
 // Stop makes the guard refuse new requests because the node stops.
 func (g *Guard) Stop() {
 	g.stopping.Store(true)
-	g.Changed(true)
+	g.LoadChanged(true)
 }
 
 // Active returns the number of requests that wait or run.
@@ -127,8 +127,8 @@
 	l := g.gate.Load()
 	slowdown := g.slowdown.state(g.Now())
 	load := mesh.Load{
-		Running: l.InUse, Waiting: l.WaitingInTime, Slots: l.Limit, Service: l.Service,
-		Slowdown: slowdown.current, Standing: slowdown.sustained, CalmIn: slowdown.recoversIn, Leaving: g.leaving.Load() || g.stopping.Load(),
+		Running: l.InUse, Waiting: l.WaitingInTime, Slots: l.Limit, ServiceTime: l.ServiceTime,
+		Slowdown: slowdown.current, SustainedSlowdown: slowdown.sustained, RecoversIn: slowdown.recoversIn, Leaving: g.leaving.Load() || g.stopping.Load(),
 	}
 	if v := g.view.Load(); v != nil {
 		load.Revision = v.Revision
@@ -154,22 +154,22 @@
 	if e := g.checkAccepts(r); e != nil {
 		return nil, e
 	}
-	deadline := s.start + r.Left
+	deadline := s.start + r.Remaining
 	g.classify(s)
-	ctx, cancel := context.WithTimeout(ctx, r.Left)
+	ctx, cancel := context.WithTimeout(ctx, r.Remaining)
 	defer cancel()
 	if e := g.awaitRecovery(ctx, s); e != nil {
 		return nil, e
 	}
 	slot, e := g.gate.AcquireWithin(ctx, rankOf(r), gate.WaitLimits{
-		QueueTimeout:     max(r.Patience-(g.Now()-s.start), time.Millisecond),
-		StartByObjective: time.Now().Add(r.AimLeft - s.baseService), StartByDeadline: time.Now().Add(deadline - g.Now() - s.minRemaining()),
+		QueueTimeout:     max(r.QueueTimeout-(g.Now()-s.start), time.Millisecond),
+		StartByObjective: time.Now().Add(r.ObjectiveRemaining - s.baseService), StartByDeadline: time.Now().Add(deadline - g.Now() - s.minRemaining()),
 	})
 	s.waited = g.Now() - s.start
 	if e != nil {
 		return nil, e
 	}
-	defer slot.Leave()
+	defer slot.Release()
 	if e := g.awaitRecovery(ctx, s); e != nil {
 		return nil, e
 	}
@@ -198,7 +198,7 @@
 		return nil
 	}
 	if err := r.Confirm(ctx); err != nil {
-		return kind.New(kind.DeadlineNotRun, "the entry did not confirm that it still waits for the request").Because(err)
+		return kind.New(kind.DeadlineNotRun, "the entry did not confirm that it still waits for the request").WithCause(err)
 	}
 	return nil
 }
@@ -208,9 +208,9 @@
 	path, _, _ := strings.Cut(s.request.URI, "?")
 	assumed := time.Duration(0)
 	if route := g.view.Load().Config.Match(s.request.Host, path); route != nil {
-		s.class, assumed = route.Name, route.AssumedWork()
+		s.class, assumed = route.Name, route.AssumedBaseServiceTime()
 	}
-	s.baseService = cmp.Or(g.gate.BaseServiceTime(s.class), s.request.Work, assumed)
+	s.baseService = cmp.Or(g.gate.BaseServiceTime(s.class), s.request.BaseServiceTime, assumed)
 }
 
 // recordBackendTime records how long the backend server took for a request, for the
@@ -224,10 +224,10 @@
 		return
 	}
 	slot.RecordSample(crowd.Sample{
-		Class: s.class, Took: time.Duration(float64(s.backendTime) / s.slowdown.current), Told: s.request.Work, AtLeast: late,
+		Class: s.class, ServiceTime: time.Duration(float64(s.backendTime) / s.slowdown.current), ReportedBaseTime: s.request.BaseServiceTime, Aborted: late,
 	})
 	if served {
-		answer.Work = g.gate.BaseServiceTime(s.class)
+		answer.BaseServiceTime = g.gate.BaseServiceTime(s.class)
 	}
 }
 
--- a/internal/mesh/guard/guard_test.go
+++ b/internal/mesh/guard/guard_test.go
@@ -41,11 +41,11 @@
 	t.Cleanup(client.Close)
 	x.Guard = guard.New(guard.Config{
 		Here: mesh.Place{Service: "orders"}, Dialect: dialect, Backend: client,
-		Now: func() time.Duration { return time.Duration(x.now.Load()) }, Changed: func(bool) {},
+		Now: func() time.Duration { return time.Duration(x.now.Load()) }, LoadChanged: func(bool) {},
 	})
 	x.view = &mesh.View{
-		Config: mesh.NewConfig(1, map[string]*mesh.Service{"orders": {Name: "orders", HealthPath: "/health"}}, nil, mesh.Limits{}),
-		Own:    &mesh.Target{ID: "i-1", Service: "orders", Slots: slots, Addr: "h"},
+		Config:      mesh.NewConfig(1, map[string]*mesh.Service{"orders": {Name: "orders", HealthPath: "/health"}}, nil, mesh.Limits{}),
+		LocalTarget: &mesh.Target{ID: "i-1", Service: "orders", Slots: slots, Addr: "h"},
 	}
 	x.SetView(x.view)
 	return x
@@ -54,7 +54,7 @@
 func request() *mesh.Request {
 	return &mesh.Request{
 		ID: "id", Method: "POST", URI: "/a", Host: "h", Header: http.Header{}, Caller: "shop", Service: "orders",
-		Target: "i-1", Left: time.Minute, Patience: time.Minute, AimLeft: time.Minute,
+		Target: "i-1", Remaining: time.Minute, QueueTimeout: time.Minute, ObjectiveRemaining: time.Minute,
 	}
 }
 
@@ -92,7 +92,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := newFixture(t, 4, c.answer).Run(t.Context(), request())
 			require.Equal(t, c.kind, err.Kind)
-			require.Equal(t, c.outcome, err.Said())
+			require.Equal(t, c.outcome, err.ReportedOutcome())
 		})
 	}
 }
@@ -111,17 +111,17 @@
 	other.Service = "stock"
 	_, err := x.Run(t.Context(), other)
 	require.Equal(t, kind.StaleConfig, err.Kind)
-	x.view.Own.State = mesh.Draining
+	x.view.LocalTarget.State = mesh.Draining
 	x.SetView(x.view)
 	_, err = x.Run(t.Context(), request())
 	require.Equal(t, kind.Leaving, err.Kind)
 	require.True(t, x.Load().Leaving)
-	x.view.Own.State = mesh.Ready
+	x.view.LocalTarget.State = mesh.Ready
 	x.SetView(x.view)
 	x.Stop()
 	_, err = x.Run(t.Context(), request())
 	require.Equal(t, kind.Leaving, err.Kind)
-	require.Equal(t, kind.NotRun, err.Said())
+	require.Equal(t, kind.NotRun, err.ReportedOutcome())
 	require.Zero(t, x.received.Load())
 }
 
@@ -151,7 +151,7 @@
 	close(release)
 	require.Nil(t, <-first)
 	err := <-second
-	require.Equal(t, kind.NotRun, err.Said())
+	require.Equal(t, kind.NotRun, err.ReportedOutcome())
 	require.EqualValues(t, 1, x.received.Load())
 }
 
@@ -183,7 +183,7 @@
 	go run()
 	require.Eventually(t, func() bool { return x.Load().Waiting == 1 }, time.Minute, time.Millisecond)
 	removed := *x.view
-	removed.Own = nil
+	removed.LocalTarget = nil
 	x.SetView(&removed)
 	x.now.Store(int64(time.Second))
 	close(release)
@@ -250,12 +250,12 @@
 	}()
 	<-started
 	impatient := request()
-	impatient.Patience = serviceTime / 10
+	impatient.QueueTimeout = serviceTime / 10
 	_, err = x.Run(t.Context(), impatient)
 	close(release)
 	<-done
 	require.Equal(t, kind.Overloaded, err.Kind)
-	require.Equal(t, kind.NotRun, err.Said())
+	require.Equal(t, kind.NotRun, err.ReportedOutcome())
 	require.GreaterOrEqual(t, err.Wait, serviceTime)
 }
 
@@ -305,7 +305,7 @@
 
 func TestSlotShareLimitsTheSlotsUsed(t *testing.T) {
 	x := newFixture(t, 6, signed)
-	x.SetFill(0.8)
+	x.SetSlotShare(0.8)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	x.now.Store(int64(time.Minute))
@@ -322,7 +322,7 @@
 	x.Backend = exchange.NewClient(l.Addr().String(), dialect.Headers)
 	_, failure := x.Run(t.Context(), request())
 	require.Equal(t, kind.Unreachable, failure.Kind)
-	require.Equal(t, kind.NotRun, failure.Said())
+	require.Equal(t, kind.NotRun, failure.ReportedOutcome())
 }
 
 // A request has waited so long that its deadline passes before the backend server could
@@ -331,9 +331,9 @@
 func TestRequestWithTooLittleTimeRemainingIsNotSent(t *testing.T) {
 	x := newFixture(t, 4, signed)
 	r := request()
-	r.Work, r.Left = time.Second, 300*time.Millisecond
+	r.BaseServiceTime, r.Remaining = time.Second, 300*time.Millisecond
 	_, err := x.Run(t.Context(), r)
-	require.Equal(t, kind.NotRun, err.Said())
+	require.Equal(t, kind.NotRun, err.ReportedOutcome())
 	require.Zero(t, x.received.Load())
 }
 
@@ -344,7 +344,7 @@
 	r.Confirm = func(context.Context) error { return context.Canceled }
 	_, err := x.Run(t.Context(), r)
 	require.Equal(t, kind.DeadlineNotRun, err.Kind)
-	require.Equal(t, kind.NotRun, err.Said())
+	require.Equal(t, kind.NotRun, err.ReportedOutcome())
 	require.Zero(t, x.received.Load())
 	r = request()
 	r.Confirm = func(context.Context) error { return nil }
--- a/internal/mesh/guard/load_test.go
+++ b/internal/mesh/guard/load_test.go
@@ -29,20 +29,20 @@
 
 // newModelGuard returns a guard for a simulated backend server.
 func newModelGuard(t *testing.T, b model.Backend, seed uint64) *guard.Guard {
-	var works []model.Work
+	var works []model.ServiceTime
 	var table []*mesh.Route
 	for _, r := range routes {
-		works = append(works, model.Work{Prefix: r.prefix, Mean: r.baseService})
+		works = append(works, model.ServiceTime{Prefix: r.prefix, Mean: r.baseService})
 		table = append(table, &mesh.Route{Name: r.prefix, Host: "h", Prefix: r.prefix})
 	}
 	start := time.Now()
 	g := guard.New(guard.Config{
 		Here: mesh.Place{Service: "orders"}, Dialect: model.Dialect, Backend: model.NewServer(b, works, seed),
-		Now: func() time.Duration { return time.Since(start) }, Changed: func(bool) {},
+		Now: func() time.Duration { return time.Since(start) }, LoadChanged: func(bool) {},
 	})
 	g.SetView(&mesh.View{
-		Config: mesh.NewConfig(1, map[string]*mesh.Service{"orders": {Name: "orders", HealthPath: model.HealthPath}}, table, mesh.Limits{}),
-		Own:    &mesh.Target{ID: "i-1", Service: "orders", Slots: b.Slots, Addr: "h"},
+		Config:      mesh.NewConfig(1, map[string]*mesh.Service{"orders": {Name: "orders", HealthPath: model.HealthPath}}, table, mesh.Limits{}),
+		LocalTarget: &mesh.Target{ID: "i-1", Service: "orders", Slots: b.Slots, Addr: "h"},
 	})
 	go g.Probe(t.Context())
 	return g
@@ -66,7 +66,7 @@
 			sent := time.Now()
 			_, err := g.Run(t.Context(), &mesh.Request{
 				ID: fmt.Sprint(i), Method: http.MethodGet, URI: r.prefix, Host: "h", Header: http.Header{}, Service: "orders",
-				Target: "i-1", Idempotent: true, Left: r.timeout, Patience: r.timeout, AimLeft: r.objective,
+				Target: "i-1", Idempotent: true, Remaining: r.timeout, QueueTimeout: r.timeout, ObjectiveRemaining: r.objective,
 			})
 			mu.Lock()
 			defer mu.Unlock()
@@ -100,13 +100,13 @@
 		// load is the request rate as a share of the server's highest throughput.
 		load float64
 	}{
-		"early and hard": {model.Backend{Slots: 9, Queue: 18, Knee: 0.5, KneeTimes: 3, Spread: 0.3}, 0.7},
-		"late and mild":  {model.Backend{Slots: 9, Queue: 18, Knee: 0.8, KneeTimes: 1.7, Spread: 0.3}, 0.7},
+		"early and hard": {model.Backend{Slots: 9, Queue: 18, Knee: 0.5, KneeFactor: 3, Spread: 0.3}, 0.7},
+		"late and mild":  {model.Backend{Slots: 9, Queue: 18, Knee: 0.8, KneeFactor: 1.7, Spread: 0.3}, 0.7},
 		"none":           {model.Backend{Slots: 9, Queue: 18, Spread: 0.3}, 0.7},
-		"few slots":      {model.Backend{Slots: 4, Queue: 8, Knee: 0.5, KneeTimes: 3, Spread: 0.3}, 0.7},
+		"few slots":      {model.Backend{Slots: 4, Queue: 8, Knee: 0.5, KneeFactor: 3, Spread: 0.3}, 0.7},
 		"with neighbours": {model.Backend{
-			Slots: 9, Queue: 18, Knee: 0.5, KneeTimes: 3, Spread: 0.3,
-			Neighbours: model.Neighbours{Share: 0.25, Times: 4, Turn: 300 * time.Millisecond},
+			Slots: 9, Queue: 18, Knee: 0.5, KneeFactor: 3, Spread: 0.3,
+			Neighbours: model.Neighbours{Share: 0.25, Factor: 4, Period: 300 * time.Millisecond},
 		}, 0.4},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -137,7 +137,7 @@
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
 			g := newModelGuard(t, b, seed)
-			g.SetFill(slotShare)
+			g.SetSlotShare(slotShare)
 			result := sendLoad(t, g, interval, warmUp, duration)
 			sum.sent += result.sent
 			sum.inTime += result.inTime
@@ -154,17 +154,17 @@
 // couldn't prefer those that can still meet their latency objective.
 func TestBaseServiceTimeExcludesWaitAndSlowdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newModelGuard(t, model.Backend{Slots: 1, Queue: 4, Cold: time.Minute, ColdTimes: 2}, 1)
+		g := newModelGuard(t, model.Backend{Slots: 1, Queue: 4, WarmUp: time.Minute, WarmUpFactor: 2}, 1)
 		time.Sleep(time.Second)
 		var group sync.WaitGroup
 		for i := range 6 {
 			group.Go(func() {
 				answer, err := g.Run(t.Context(), &mesh.Request{
 					ID: fmt.Sprint(i), Method: http.MethodGet, URI: routes[0].prefix, Host: "h", Header: http.Header{}, Service: "orders",
-					Target: "i-1", Idempotent: true, Left: time.Minute, Patience: time.Minute, AimLeft: time.Minute,
+					Target: "i-1", Idempotent: true, Remaining: time.Minute, QueueTimeout: time.Minute, ObjectiveRemaining: time.Minute,
 				})
 				require.Nil(t, err)
-				require.InDelta(t, routes[0].baseService.Seconds(), answer.Work.Seconds(), 0.01)
+				require.InDelta(t, routes[0].baseService.Seconds(), answer.BaseServiceTime.Seconds(), 0.01)
 			})
 		}
 		group.Wait()
--- a/internal/mesh/guard/probe.go
+++ b/internal/mesh/guard/probe.go
@@ -44,7 +44,7 @@
 
 func (g *Guard) probeDue() bool {
 	v := g.view.Load()
-	if v == nil || v.Own == nil {
+	if v == nil || v.LocalTarget == nil {
 		return false
 	}
 	age := g.Now() - time.Duration(g.reportedAt.Load())
@@ -63,7 +63,7 @@
 	}
 	defer g.probing.Store(false)
 	v := g.view.Load()
-	if v == nil || v.Own == nil {
+	if v == nil || v.LocalTarget == nil {
 		// The registration may end while requests that arrived before still wait.
 		return
 	}
@@ -78,7 +78,7 @@
 	// interval.
 	g.reportedAt.Store(int64(g.Now()))
 	answer, failure := g.Backend.Do(ctx, &exchange.Message{
-		Method: http.MethodGet, URI: svc.HealthPath, Host: v.Own.Addr, Header: http.Header{},
+		Method: http.MethodGet, URI: svc.HealthPath, Host: v.LocalTarget.Addr, Header: http.Header{},
 	}, func() bool { return true })
 	if failure != nil {
 		return
--- a/internal/mesh/guard/pulse.go
+++ b/internal/mesh/guard/pulse.go
@@ -206,7 +206,7 @@
 	for {
 		g.refreshLoad(ctx)
 		recoversIn, delay := g.slowdown.wait(g.Now(), s.baseService)
-		timeout := s.request.Patience - (g.Now() - s.start)
+		timeout := s.request.QueueTimeout - (g.Now() - s.start)
 		if recoversIn == 0 && delay <= max(timeout, 0) {
 			return nil
 		}
--- a/internal/mesh/guard/record.go
+++ b/internal/mesh/guard/record.go
@@ -55,16 +55,16 @@
 	pairs := []any{
 		"id", r.ID, "service", r.Service, "target", r.Target, "running", l.Running, "waiting", l.Waiting,
 		"slots", l.Slots, "slowdown", s.slowdown.current, "standing", s.slowdown.sustained, "calm_in_ms", s.slowdown.recoversIn.Milliseconds(), "load_age_ms", s.loadAge.Milliseconds(),
-		"revision", l.Revision, "left_ms", r.Left.Milliseconds(), "patience_ms", r.Patience.Milliseconds(),
-		"priority", r.Priority, "aim_left_ms", r.AimLeft.Milliseconds(), "work_ms", s.baseService.Milliseconds(),
+		"revision", l.Revision, "left_ms", r.Remaining.Milliseconds(), "patience_ms", r.QueueTimeout.Milliseconds(),
+		"priority", r.Priority, "aim_left_ms", r.ObjectiveRemaining.Milliseconds(), "work_ms", s.baseService.Milliseconds(),
 		"beside", s.concurrency, "crowding", s.contention, "own_ms", s.backendTime.Milliseconds(),
 		"waited_ms", s.waited.Milliseconds(), "took_ms", (g.Now() - s.start).Milliseconds(),
 	}
 	if e != nil {
-		g.Log.Decide("guard refused or lost", append(pairs, "kind", e.Kind, "outcome", e.Said(), "message", e.Message, "cause", errorText(e.Cause))...)
+		g.Log.InfoLimited("guard refused or lost", append(pairs, "kind", e.Kind, "outcome", e.ReportedOutcome(), "message", e.Message, "cause", errorText(e.Cause))...)
 		return
 	}
-	g.Log.Decide("guard served", append(pairs, "status", a.Status)...)
+	g.Log.InfoLimited("guard served", append(pairs, "status", a.Status)...)
 }
 
 func errorText(err error) string {
--- a/internal/mesh/guard/send.go
+++ b/internal/mesh/guard/send.go
@@ -59,17 +59,17 @@
 func (g *Guard) exchangeError(ctx context.Context, f *exchange.Failure) *kind.Error {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled) && f.Outcome == exchange.Unknown:
-		return kind.New(kind.OutcomeUnknown, "the caller left").Because(ctx.Err())
+		return kind.New(kind.OutcomeUnknown, "the caller left").WithCause(ctx.Err())
 	case f.Outcome == exchange.Unreachable:
-		return kind.New(kind.Unreachable, "the backend server can't be reached").Because(f)
+		return kind.New(kind.Unreachable, "the backend server can't be reached").WithCause(f)
 	case f.Outcome == exchange.NotSent && ctx.Err() != nil:
-		return kind.New(kind.DeadlineNotRun, "the deadline passed before the request was sent").Because(f)
+		return kind.New(kind.DeadlineNotRun, "the deadline passed before the request was sent").WithCause(f)
 	case f.Outcome == exchange.NotSent:
-		return kind.New(kind.Unreachable, "the connection to the backend server was closed before the request was sent").Because(f)
+		return kind.New(kind.Unreachable, "the connection to the backend server was closed before the request was sent").WithCause(f)
 	case ctx.Err() != nil:
-		return kind.New(kind.DeadlineUnknown, "the deadline passed while the backend server ran the request").Because(f)
+		return kind.New(kind.DeadlineUnknown, "the deadline passed while the backend server ran the request").WithCause(f)
 	}
-	return kind.New(kind.BackendBroken, "the exchange with the backend server was cut off after the request was sent").Because(f)
+	return kind.New(kind.BackendBroken, "the exchange with the backend server was cut off after the request was sent").WithCause(f)
 }
 
 func (g *Guard) message(r *mesh.Request, deadline time.Duration) *exchange.Message {
@@ -80,7 +80,7 @@
 	header.Set(names.ExpectedTarget, r.Target)
 	header.Set(names.Caller, r.Caller)
 	return &exchange.Message{
-		Method: r.Method, URI: r.URI, Host: r.Host, Header: header, Body: r.Body, Once: !r.Idempotent,
+		Method: r.Method, URI: r.URI, Host: r.Host, Header: header, Body: r.Body, AtMostOnce: !r.Idempotent,
 	}
 }
 
@@ -90,10 +90,10 @@
 	if !ok {
 		return
 	}
-	g.gate.BackendCount(l.Running)
+	g.gate.SetBackendRunning(l.Running)
 	now := g.Now()
 	g.reportedAt.Store(int64(now))
 	if l.Slowdown > 0 && g.slowdown.report(now, l.Slowdown) {
-		g.Changed(false)
+		g.LoadChanged(false)
 	}
 }
--- a/internal/mesh/message.go
+++ b/internal/mesh/message.go
@@ -22,16 +22,16 @@
 	Idempotent      bool
 	Priority        int
 	// Remaining is the time until the caller's deadline, as of sending.
-	Left time.Duration
+	Remaining time.Duration
 	// QueueTimeout is the longest time that the request may wait before it is sent to the
 	// backend server.
-	Patience time.Duration
+	QueueTimeout time.Duration
 	// ObjectiveRemaining is the time until the route's latency objective passes, as of
 	// sending; it is negative if the request is late already.
-	AimLeft time.Duration
+	ObjectiveRemaining time.Duration
 	// BaseServiceTime is how long requests of this route take at the service's backend servers
 	// without queueing and interference; 0 means that the sender does not know it.
-	Work time.Duration
+	BaseServiceTime time.Duration
 	// Confirm asks the entry whether the request may still run, right before it is sent to the
 	// backend server; an error means that it must not be sent. It is nil if no confirmation is
 	// needed.
@@ -46,7 +46,7 @@
 	// BaseServiceTime is how long requests of this route usually take at the backend server
 	// without queueing and interference: the time in the queue is not included, and slowdowns
 	// are factored out. 0 means unknown.
-	Work time.Duration
+	BaseServiceTime time.Duration
 }
 
 // Load is the load of a backend server, as counted by the guard beside it.
@@ -55,17 +55,18 @@
 	// these run last. Slots is how many requests the guard runs at once.
 	Running, Waiting, Slots int
 	// ServiceTime is the average time for which a slot is held.
-	Service time.Duration `json:"Service"`
-	// Slowdown is the present ratio of service time to base service time. Standing is the part
+	ServiceTime time.Duration `json:"Service"`
+	// Slowdown is the present ratio of service time to base service time. SustainedSlowdown is the part
 	// of it that is expected to be sustained, as after a cold start. 0 means no slowdown.
-	Slowdown, Standing float64
-	// RecoversIn is the time until the slowdown is expected to be down to Standing; 0 means
+	Slowdown          float64
+	SustainedSlowdown float64 `json:"Standing"`
+	// RecoversIn is the time until the slowdown is expected to be down to SustainedSlowdown; 0 means
 	// that it is down already.
-	CalmIn time.Duration `json:"CalmIn"`
+	RecoversIn time.Duration `json:"CalmIn"`
 	// Leaving is true if the guard accepts no new requests.
 	Leaving bool
 	// Revision is the latest store revision that the node has seen.
 	Revision uint64
 	// ReadsStore is true if the node reads the store itself and the store answers.
-	Reading bool `json:"Reading"`
+	ReadsStore bool `json:"Reading"`
 }
--- a/internal/mesh/model/server.go
+++ b/internal/mesh/model/server.go
@@ -42,13 +42,13 @@
 	Slots, Queue int
 	// Knee is the share of the slots up to which requests run at full speed. A request that is
 	// started beyond it takes KneeFactor times as long. 0 means that there is no knee.
-	Knee, KneeTimes float64
+	Knee, KneeFactor float64
 	// Neighbours interfere from the same VM: in a Share of the periods requests take Factor
 	// times as long.
 	Neighbours Neighbours
 	// WarmUp is the time after the start in which requests take WarmUpFactor times as long.
-	Cold      time.Duration
-	ColdTimes float64
+	WarmUp       time.Duration
+	WarmUpFactor float64
 	// HangsWhenFull is true if the server doesn't answer a request that it can't queue, nor
 	// anything else on that connection. Otherwise it refuses such requests.
 	HangsWhenFull bool
@@ -58,12 +58,12 @@
 
 // Neighbours is the interference by other processes on the same VM.
 type Neighbours struct {
-	Share, Times float64
-	Turn         time.Duration
+	Share, Factor float64
+	Period        time.Duration
 }
 
 // ServiceTime is the mean base service time of the requests with a path prefix.
-type Work struct {
+type ServiceTime struct {
 	Prefix string
 	Mean   time.Duration
 }
@@ -71,7 +71,7 @@
 // Server is a simulated backend server. Safe for concurrent use.
 type Server struct {
 	Backend
-	serviceTimes []Work
+	serviceTimes []ServiceTime
 	mu           sync.Mutex
 	rnd          *rand.Rand
 	started      time.Time
@@ -85,7 +85,7 @@
 }
 
 // NewServer starts a backend server whose random numbers are drawn from seed.
-func NewServer(b Backend, serviceTimes []Work, seed uint64) *Server {
+func NewServer(b Backend, serviceTimes []ServiceTime, seed uint64) *Server {
 	return &Server{Backend: b, serviceTimes: serviceTimes, rnd: rand.New(rand.NewPCG(seed, seed)), started: time.Now(), period: -1}
 }
 
@@ -195,7 +195,7 @@
 	defer s.mu.Unlock()
 	factor := s.slowdown(time.Now()) * math.Exp(s.Spread*s.rnd.NormFloat64())
 	if s.Knee > 0 && float64(s.running) > s.Knee*float64(s.Slots) {
-		factor *= s.KneeTimes
+		factor *= s.KneeFactor
 	}
 	return time.Duration(factor * float64(s.meanServiceTime(uri)))
 }
@@ -215,17 +215,17 @@
 func (s *Server) slowdown(now time.Time) float64 {
 	age := now.Sub(s.started)
 	factor := 1.0
-	if age < s.Cold {
-		factor = s.ColdTimes
+	if age < s.WarmUp {
+		factor = s.WarmUpFactor
 	}
-	if s.Neighbours.Turn == 0 {
+	if s.Neighbours.Period == 0 {
 		return factor
 	}
-	for period := int64(age / s.Neighbours.Turn); s.period < period; s.period++ {
+	for period := int64(age / s.Neighbours.Period); s.period < period; s.period++ {
 		s.slow = s.rnd.Float64() < s.Neighbours.Share
 	}
 	if s.slow {
-		factor *= s.Neighbours.Times
+		factor *= s.Neighbours.Factor
 	}
 	return factor
 }
--- a/internal/mesh/node/admin.go
+++ b/internal/mesh/node/admin.go
@@ -98,7 +98,7 @@
 
 func (a *admin) state() state {
 	s := state{Stopping: a.stopping.Load(), Active: a.entry.Active(), Load: a.guard.Load()}
-	s.Reading = s.Load.Reading
+	s.Reading = s.Load.ReadsStore
 	v := a.entry.View()
 	if v == nil {
 		return s
--- a/internal/mesh/node/callers.go
+++ b/internal/mesh/node/callers.go
@@ -63,7 +63,7 @@
 	if !ok {
 		answer, _ = kind.AnswerOf(kind.OutcomeUnknown)
 	}
-	notRun := e.Said() == kind.NotRun
+	notRun := e.ReportedOutcome() == kind.NotRun
 	h := http.Header{"Content-Type": {"application/json"}}
 	if id != "" {
 		h.Set(c.dialect.Headers.RequestID, id)
--- a/internal/mesh/node/main.go
+++ b/internal/mesh/node/main.go
@@ -40,12 +40,12 @@
 		fx.Populate(&settingsWatch),
 		fx.StopTimeout(2*s.StopGrace))
 	if err := app.Err(); err != nil {
-		return daemon.Complain(err)
+		return daemon.ReportError(err)
 	}
 	start, cancelStart := context.WithTimeout(ctx, app.StartTimeout())
 	defer cancelStart()
 	if err := app.Start(start); err != nil {
-		log.Trouble("start failed", "error", err.Error())
+		log.Warn("start failed", "error", err.Error())
 		log.Flush(flushTimeout)
 		return daemon.ExitFailed
 	}
@@ -56,7 +56,7 @@
 	stop, cancelStop := context.WithTimeout(ctx, app.StopTimeout())
 	defer cancelStop()
 	if err := app.Stop(stop); err != nil {
-		log.Trouble("stop failed", "error", err.Error())
+		log.Warn("stop failed", "error", err.Error())
 		return daemon.ExitFailed
 	}
 	return end.ExitCode
--- a/internal/mesh/node/metrics.go
+++ b/internal/mesh/node/metrics.go
@@ -17,26 +17,26 @@
 	}
 	count("limpetdock_log_lines_total", "Lines written to the log.", func() uint64 { n, _ := log.Counts(); return n })
 	count("limpetdock_log_dropped_total", "Lines dropped to bound the log.", func() uint64 { _, n := log.Counts(); return n })
-	count("limpetdock_store_calls_total", "Calls to the platform's store; a waiting watch counts as one.", func() uint64 { n, _ := s.Calls(); return n })
-	count("limpetdock_store_calls_failed_total", "Calls to the store without a usable answer.", func() uint64 { _, n := s.Calls(); return n })
+	count("limpetdock_store_calls_total", "Calls to the platform's store, a waiting watch as one.", func() uint64 { n, _ := s.Calls(); return n })
+	count("limpetdock_store_calls_failed_total", "Calls to the store without an answer that could be used.", func() uint64 { _, n := s.Calls(); return n })
 	for _, cause := range StoreCauses {
-		m.LabelledFunc("limpetdock_store_calls_by_cause_total", "Calls to the platform's store by cause.",
+		m.LabelledCounter("limpetdock_store_calls_by_cause_total", "Calls to the platform's store by what they were made for.",
 			map[string]string{"cause": string(cause)}, func() uint64 { return s.CallsFor(cause) })
 	}
-	count("limpetdock_store_received_bytes_total", "Bytes received in answers of the store, including aborted ones.", c.received.Load)
-	m.Gauge("limpetdock_store_revision", "Revision of the store up to which the node is up to date.", func() float64 { return float64(s.Revision()) })
-	m.Gauge("limpetdock_store_behind_seconds", "Seconds since the node learned of a revision newer than its own; 0 if it is up to date.", func() float64 { return r.Lag().Seconds() })
+	count("limpetdock_store_received_bytes_total", "Bytes of answers of the store, also of those given up.", c.received.Load)
+	m.Gauge("limpetdock_store_revision", "Revision of the store up to which the node knows everything.", func() float64 { return float64(s.Revision()) })
+	m.Gauge("limpetdock_store_behind_seconds", "How long the node has known of a newer revision than its own; 0 is not.", func() float64 { return r.Lag().Seconds() })
 	count("limpetdock_backend_sent_total", "Requests sent to the backend server.", func() uint64 { n, _ := g.Counts(); return n })
-	count("limpetdock_backend_probes_total", "Load probes sent to the backend server.", func() uint64 { _, n := g.Counts(); return n })
+	count("limpetdock_backend_probes_total", "Questions to the backend server about its load.", func() uint64 { _, n := g.Counts(); return n })
 	count("limpetdock_backend_connections_total", "Connections opened to the backend server.", b.Opened)
 	count("limpetdock_callers_connections_total", "Connections accepted from callers.", f.Counts.Accepted.Load)
-	count("limpetdock_callers_requests_total", "Requests read completely.", f.Counts.Requests.Load)
-	count("limpetdock_callers_rejected_total", "Requests rejected because they could not be read.", f.Counts.Rejected.Load)
-	count("limpetdock_callers_left_total", "Requests whose caller closed the connection before the answer.", f.Counts.Left.Load)
+	count("limpetdock_callers_requests_total", "Requests read whole.", f.Counts.Requests.Load)
+	count("limpetdock_callers_rejected_total", "Requests that could not be read.", f.Counts.Rejected.Load)
+	count("limpetdock_callers_left_total", "Requests whose caller left before the answer.", f.Counts.Abandoned.Load)
 	m.Gauge("limpetdock_requests_in_flight", "Requests of callers being served.", func() float64 { return float64(e.Active()) })
-	m.Gauge("limpetdock_backend_slots_in_use", "Requests that the backend server is running.", func() float64 { return float64(g.Load().Running) })
-	m.Gauge("limpetdock_backend_queue_length", "Requests waiting for a slot.", func() float64 { return float64(g.Load().Waiting) })
-	m.Gauge("limpetdock_config_version", "Version of the configuration in force; 0 if there is none.", func() float64 {
+	m.Gauge("limpetdock_backend_slots_in_use", "Requests that the backend server runs now.", func() float64 { return float64(g.Load().Running) })
+	m.Gauge("limpetdock_backend_queue_length", "Requests that wait for a slot.", func() float64 { return float64(g.Load().Waiting) })
+	m.Gauge("limpetdock_config_version", "Configuration in force; 0 is none.", func() float64 {
 		if v := e.View(); v != nil {
 			return float64(v.Config.Version)
 		}
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -31,19 +31,19 @@
 	// ReadyPath is the path at which the platform checks whether the node accepts callers.
 	ReadyPath string
 	// Source returns a Source for the platform's store at an address.
-	Source func(address string, log *decision.Log, sink *directory.Loop, part Part) Source
+	Source func(address string, log *decision.Log, sink *directory.Loop, part SourceConfig) Source
 }
 
 // SourceConfig is what a node provides to its Source.
-type Part struct {
+type SourceConfig struct {
 	// ShouldRead reports whether the node must read the store itself, and if not, when to
 	// check again, as time since the node's start.
-	Reads func() (reads bool, recheckAt time.Duration)
+	ShouldRead func() (reads bool, recheckAt time.Duration)
 	// Isolated reports whether the node receives no reports from other nodes.
-	Alone func() bool
+	Isolated func() bool
 	// IsPreferredReader reports whether the node ranks among the first readers of its zone,
 	// and HasOtherReader whether another node reports that it reads the store.
-	First, Served func() bool
+	IsPreferredReader, HasOtherReader func() bool
 	// Now returns the time since the node's start.
 	Now func() time.Duration
 	// Observe is called after each call to the store has ended.
@@ -82,9 +82,9 @@
 
 func newGuard(s *settings.Settings, p Platform, b *exchange.Client, now clock.Clock, log *decision.Log, t *loadSender) *guard.Guard {
 	g := guard.New(guard.Config{
-		Here: s.Here, Dialect: p.Dialect, Backend: b, Now: now, Log: log, Changed: t.changed,
+		Here: s.Here, Dialect: p.Dialect, Backend: b, Now: now, Log: log, LoadChanged: t.changed,
 	})
-	g.SetFill(s.Tunable.Fill)
+	g.SetSlotShare(s.Tunable.Fill)
 	return g
 }
 
@@ -117,7 +117,7 @@
 		readers.SetView(v)
 		g.SetView(v)
 		e.SetView(v)
-		c.Keep(v.Peers)
+		c.CloseUnused(v.Peers)
 	})
 }
 
@@ -128,18 +128,18 @@
 }
 
 func newSource(s *settings.Settings, p Platform, log *decision.Log, l *directory.Loop, r *reportDispatcher, t *reader.Table, now clock.Clock, c *storeCalls) Source {
-	source := p.Source(s.Store, log, l, Part{
-		Reads: t.Reads, First: t.First, Served: t.Served, Alone: r.isolated, Now: now, Observe: c.observe,
+	source := p.Source(s.Store, log, l, SourceConfig{
+		ShouldRead: t.ShouldRead, IsPreferredReader: t.IsPreferredReader, HasOtherReader: t.HasOtherReader, Isolated: r.isolated, Now: now, Observe: c.observe,
 	})
 	// If other nodes report that the local backend server's registration has ended, the node
 	// has to find out whether it is itself cut off from the store.
-	l.OnOwnEnded(func() { source.Refresh(reader.AnyRevision) })
+	l.OnOwnRegistrationEnded(func() { source.Refresh(reader.AnyRevision) })
 	return source
 }
 
 func newFollower(t *reader.Table, s Source, c *peer.Client, log *decision.Log, r *reportDispatcher, o *reportingGuard) *reader.Follower {
 	f := reader.NewFollower(t, s, c, log)
-	r.onReport(f.Heard)
+	r.onReport(f.HandleReport)
 	o.setReading(s.Reading)
 	return f
 }
@@ -176,7 +176,7 @@
 			}
 			p.serve(ctx, listeners)
 			h := p.Settings.Here
-			p.Log.Change("started", "vm", h.VM, "zone", h.Zone, "region", h.Region, "service", h.Service, "callers", p.Settings.Callers)
+			p.Log.Info("started", "vm", h.VM, "zone", h.Zone, "region", h.Region, "service", h.Service, "callers", p.Settings.Callers)
 			return nil
 		},
 		OnStop: func(context.Context) error {
@@ -207,9 +207,9 @@
 
 // serve starts the goroutines of the node.
 func (p *components) serve(ctx context.Context, l *listeners) {
-	updates := p.Follower.News(ctx)
-	p.Client.OnNews(updates)
-	p.Peers.OnNews(p.needsSnapshot, updates)
+	updates := p.Follower.UpdateHandler(ctx)
+	p.Client.SetStateSync(updates)
+	p.Peers.SetStateSync(p.needsSnapshot, updates)
 	go p.Loop.Run(ctx)
 	go p.Source.Run(ctx, p.bootstrap)
 	go p.Guard.Probe(ctx)
@@ -224,7 +224,7 @@
 	} {
 		go func() {
 			if err := serve(); err != nil {
-				p.Log.Trouble("a server ended", "error", err.Error())
+				p.Log.Warn("a server ended", "error", err.Error())
 				// The process exits and is restarted with all of its ports.
 				_ = p.Shutdown.Shutdown(fx.ExitCode(daemon.ExitFailed))
 			}
--- a/internal/mesh/node/reload.go
+++ b/internal/mesh/node/reload.go
@@ -40,7 +40,7 @@
 	content, err := os.ReadFile(path)
 	if err != nil {
 		// The next check reads it again and finds it changed.
-		log.Trouble("cannot read settings", "error", err.Error())
+		log.Warn("cannot read settings", "error", err.Error())
 	}
 	return &settingsWatcher{path: path, tunables: t, log: log, content: content, current: *s}
 }
@@ -66,27 +66,27 @@
 	content, err := os.ReadFile(w.path)
 	if err != nil {
 		if signalled {
-			w.log.Trouble("settings unchanged: cannot read the file", "error", err.Error())
+			w.log.Warn("settings unchanged: cannot read the file", "error", err.Error())
 		}
 		return
 	}
 	if bytes.Equal(content, w.content) {
 		if signalled {
-			w.log.Change("settings unchanged")
+			w.log.Info("settings unchanged")
 		}
 		return
 	}
 	w.content = content
 	next, err := settings.Parse(w.path, content)
 	if err != nil {
-		w.log.Trouble("settings refused, the previous ones stay in force", "error", err.Error())
+		w.log.Warn("settings refused, the previous ones stay in force", "error", err.Error())
 		return
 	}
 	w.tunables.Entry.SetPrices(next.Tunable.Prices)
-	w.tunables.Guard.SetFill(next.Tunable.Fill)
+	w.tunables.Guard.SetSlotShare(next.Tunable.Fill)
 	restart := next.Here != w.current.Here || next.Callers != w.current.Callers || next.Peers != w.current.Peers ||
 		next.Backend != w.current.Backend || next.Store != w.current.Store
 	w.current.Tunable = next.Tunable
-	w.log.Change("settings reloaded", "fill", next.Tunable.Fill, "zone_price", next.Tunable.Prices.ZonePerKB.String(),
+	w.log.Info("settings reloaded", "fill", next.Tunable.Fill, "zone_price", next.Tunable.Prices.ZonePerKB.String(),
 		"region_price", next.Tunable.Prices.RegionPerKB.String(), "other_changes_need_a_restart", restart)
 }
--- a/internal/mesh/node/reports.go
+++ b/internal/mesh/node/reports.go
@@ -89,7 +89,7 @@
 func (r *reportingGuard) Load() mesh.Load {
 	l := r.Guard.Load()
 	if reading := r.reading.Load(); reading != nil {
-		l.Reading = (*reading)()
+		l.ReadsStore = (*reading)()
 	}
 	return l
 }
@@ -127,7 +127,7 @@
 		}
 		l := r.Load()
 		if reach, due := schedule.next(l, s.urgent.Swap(false), time.Now()); due {
-			peers.Tell(l, reach)
+			peers.SendLoad(l, reach)
 		}
 		clock.Sleep(ctx, minReportInterval)
 	}
@@ -147,24 +147,24 @@
 // revision received from another node waits for the next report to the region: if all nodes
 // reported it to all others, each change in the store would cause a number of messages that
 // is quadratic in the number of nodes.
-func (s *reportSchedule) next(l mesh.Load, urgent bool, now time.Time) (reach peer.Reach, due bool) {
+func (s *reportSchedule) next(l mesh.Load, urgent bool, now time.Time) (reach peer.Scope, due bool) {
 	interval := regionReportInterval
-	if l.Reading {
-		interval = reader.ReportEvery
+	if l.ReadsStore {
+		interval = reader.ReportInterval
 	}
 	changed := l != s.load
-	readingChanged := l.Reading != s.load.Reading
+	readingChanged := l.ReadsStore != s.load.ReadsStore
 	storeChanged := readingChanged || l.Revision != s.load.Revision
 	switch {
-	case urgent, storeChanged && l.Reading:
-		reach = peer.Everybody
+	case urgent, storeChanged && l.ReadsStore:
+		reach = peer.ScopeAll
 	case readingChanged, now.Sub(s.region) >= interval:
-		reach = peer.Region
+		reach = peer.ScopeRegion
 	case !changed:
 		return 0, false
 	}
 	s.load = l
-	if reach > peer.Users {
+	if reach > peer.ScopeSenders {
 		s.region = now
 	}
 	return reach, true
--- a/internal/mesh/node/stop.go
+++ b/internal/mesh/node/stop.go
@@ -25,21 +25,21 @@
 // end first, for as long as the grace lasts. Requests that could outlast it are refused.
 func (p *components) stop() {
 	began := time.Now()
-	p.Log.Change("stopping", "active", p.Front.Active(), "guard_active", p.Guard.Active())
+	p.Log.Info("stopping", "active", p.Front.Active(), "guard_active", p.Guard.Active())
 	p.Admin.stopping.Store(true)
 	guardTimer := time.AfterFunc(guardStopDelay, p.Guard.Stop)
 	defer guardTimer.Stop()
 	p.Front.Drain()
-	p.Peers.Stop()
+	p.Peers.StopBootstrap()
 	limit := p.Settings.StopGrace - stopMargin
 	p.Entry.Stop(p.Now() + limit)
 	for time.Since(began) < limit {
 		time.Sleep(stopPollInterval)
-		if time.Since(began) >= minStopTime && allEnded(p.guardIdle, p.Peers.Delivered, p.Front.Finish) {
+		if time.Since(began) >= minStopTime && allEnded(p.guardIdle, p.Peers.Delivered, p.Front.StopIfIdle) {
 			break
 		}
 	}
-	p.Log.Change("stopped", "active", p.Front.Active(), "guard_active", p.Guard.Active(), "took_ms", time.Since(began).Milliseconds())
+	p.Log.Info("stopped", "active", p.Front.Active(), "guard_active", p.Guard.Active(), "took_ms", time.Since(began).Milliseconds())
 	p.Log.Flush(flushTimeout)
 	p.Front.Close()
 	p.Peers.Close()
--- a/internal/mesh/node/store_calls.go
+++ b/internal/mesh/node/store_calls.go
@@ -15,9 +15,9 @@
 const (
 	// StoreDiscover looks up other nodes for a node that has no state. The answer may be
 	// stale, which costs less.
-	StoreLook StoreCause = "look"
+	StoreDiscover StoreCause = "look"
 	// StoreInitialRead reads everything on a node that has no state.
-	StoreStart StoreCause = "start"
+	StoreInitialRead StoreCause = "start"
 	// StoreReread reads everything again when a watch can't deliver the changes.
 	StoreReread StoreCause = "reread"
 	// StoreWatch waits for changes.
@@ -32,7 +32,7 @@
 )
 
 // StoreCauses are all causes.
-var StoreCauses = []StoreCause{StoreLook, StoreStart, StoreReread, StoreWatch, StoreCatchUp, StoreRetry, StoreProbe}
+var StoreCauses = []StoreCause{StoreDiscover, StoreInitialRead, StoreReread, StoreWatch, StoreCatchUp, StoreRetry, StoreProbe}
 
 // StoreCall is a completed call to the platform's store.
 type StoreCall struct {
@@ -77,8 +77,8 @@
 	}
 	switch {
 	case c.Err != nil:
-		s.log.Trouble("call to the store failed", append(fields, "error", c.Err.Error())...)
+		s.log.Warn("call to the store failed", append(fields, "error", c.Err.Error())...)
 	case c.Bytes >= largeAnswerBytes:
-		s.log.Change("large answer of the store", fields...)
+		s.log.Info("large answer of the store", fields...)
 	}
 }
--- a/internal/mesh/peer/client.go
+++ b/internal/mesh/peer/client.go
@@ -30,16 +30,16 @@
 	mu    sync.Mutex
 	links map[linkKey]*link
 	// stateSync exchanges store state with other nodes; nil until SetStateSync is called.
-	stateSync atomic.Pointer[News]
+	stateSync atomic.Pointer[StateSync]
 }
 
 // SetStateSync sets how state queries of other nodes are answered and how the states
 // that they send are applied. It must be called before the first request.
-func (c *Client) OnNews(state News) { c.stateSync.Store(&state) }
+func (c *Client) SetStateSync(state StateSync) { c.stateSync.Store(&state) }
 
 // Ask sends a state query to the node at addr. It fails if no connection to the node is
 // open. The answer is passed to StateSync.Apply.
-func (c *Client) Ask(addr string, q Question) error {
+func (c *Client) Ask(addr string, q StateQuery) error {
 	l := c.link(linkKey{addr: addr})
 	l.mu.Lock()
 	w := l.writer
@@ -84,7 +84,7 @@
 	l := c.link(linkKey{addr, len(r.Body) >= bulkSize})
 	w, waited, err := l.connect(ctx)
 	if err != nil {
-		return nil, kind.New(kind.Unreachable, "the target's node can't be reached").Because(err)
+		return nil, kind.New(kind.Unreachable, "the target's node can't be reached").WithCause(err)
 	}
 	r = subtractElapsed(r, waited)
 	streamID, s := l.openStream(!r.Idempotent)
@@ -93,10 +93,10 @@
 	body.Confirm = s.needsConfirm
 	frame, err := encode(frameRequest, streamID, body)
 	if err != nil {
-		return nil, kind.New(kind.BadRequest, "the request can't be forwarded").Because(err)
+		return nil, kind.New(kind.BadRequest, "the request can't be forwarded").WithCause(err)
 	}
 	if err := w.send(frame); err != nil {
-		return nil, kind.New(kind.Unreachable, "the target's node can't be reached").Because(err)
+		return nil, kind.New(kind.Unreachable, "the target's node can't be reached").WithCause(err)
 	}
 	return l.wait(ctx, w, streamID, s)
 }
@@ -104,9 +104,9 @@
 // subtractElapsed returns a copy of r with the elapsed time subtracted from its times.
 func subtractElapsed(r *mesh.Request, elapsed time.Duration) *mesh.Request {
 	adjusted := *r
-	adjusted.Left = max(0, adjusted.Left-elapsed)
-	adjusted.AimLeft -= elapsed
-	adjusted.Patience = max(0, adjusted.Patience-elapsed)
+	adjusted.Remaining = max(0, adjusted.Remaining-elapsed)
+	adjusted.ObjectiveRemaining -= elapsed
+	adjusted.QueueTimeout = max(0, adjusted.QueueTimeout-elapsed)
 	return &adjusted
 }
 
@@ -119,7 +119,7 @@
 
 // CloseUnused closes the connections to nodes that are not in inUse. A connection with
 // requests in flight or a dial in progress stays open.
-func (c *Client) Keep(inUse map[string]mesh.Peer) {
+func (c *Client) CloseUnused(inUse map[string]mesh.Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key, l := range c.links {
--- a/internal/mesh/peer/confirm_test.go
+++ b/internal/mesh/peer/confirm_test.go
@@ -41,7 +41,7 @@
 	}()
 	_, err := c.Run(t.Context(), addr, &mesh.Request{})
 	require.Equal(t, kind.Unreachable, err.Kind)
-	require.Equal(t, kind.NotRun, err.Said())
+	require.Equal(t, kind.NotRun, err.ReportedOutcome())
 }
 
 // Guards against resending a request that may have run at a node that died.
@@ -59,7 +59,7 @@
 	}()
 	_, err := c.Run(t.Context(), addr, &mesh.Request{})
 	require.Equal(t, kind.OutcomeUnknown, err.Kind)
-	require.Equal(t, kind.Unknown, err.Said())
+	require.Equal(t, kind.Unknown, err.ReportedOutcome())
 }
 
 // Guards against a request that runs after its caller received the outcome not-run.
@@ -76,7 +76,7 @@
 	_, err := c.Run(ctx, addr, &mesh.Request{})
 	close(released)
 	require.Equal(t, kind.DeadlineNotRun, err.Kind)
-	require.Equal(t, kind.NotRun, err.Said())
+	require.Equal(t, kind.NotRun, err.ReportedOutcome())
 	require.Error(t, <-confirmed)
 }
 
--- a/internal/mesh/peer/dial_test.go
+++ b/internal/mesh/peer/dial_test.go
@@ -25,7 +25,7 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err := c.Run(ctx, "peer", &mesh.Request{Left: time.Second})
+		_, err := c.Run(ctx, "peer", &mesh.Request{Remaining: time.Second})
 		require.Equal(t, kind.Unreachable, err.Kind)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		close(released)
@@ -36,7 +36,7 @@
 // node was dialled first.
 func TestDialTimeIsSubtractedFromRequestTimes(t *testing.T) {
 	const dial = 300 * time.Millisecond
-	sent := mesh.Request{Left: time.Second, AimLeft: dial / 2, Patience: dial / 3}
+	sent := mesh.Request{Remaining: time.Second, ObjectiveRemaining: dial / 2, QueueTimeout: dial / 3}
 	synctest.Test(t, func(t *testing.T) {
 		var got *mesh.Request
 		c, _, stop := startSlowNode(t, func(_ context.Context, r *mesh.Request) *mesh.Answer {
@@ -46,8 +46,8 @@
 		defer stop()
 		_, err := c.Run(t.Context(), "peer", &sent)
 		require.Nil(t, err)
-		require.Equal(t, sent.Left-dial, got.Left)
-		require.Equal(t, sent.AimLeft-dial, got.AimLeft)
-		require.Zero(t, got.Patience)
+		require.Equal(t, sent.Remaining-dial, got.Remaining)
+		require.Equal(t, sent.ObjectiveRemaining-dial, got.ObjectiveRemaining)
+		require.Zero(t, got.QueueTimeout)
 	})
 }
--- a/internal/mesh/peer/frame.go
+++ b/internal/mesh/peer/frame.go
@@ -139,8 +139,8 @@
 	return &requestBody{
 		ID: r.ID, Method: r.Method, URI: r.URI, Host: r.Host, Header: r.Header, Body: r.Body,
 		Caller: r.Caller, Service: r.Service, Target: r.Target, Idempotent: r.Idempotent,
-		Priority: r.Priority, RemainingMs: milliseconds(r.Left), QueueTimeoutMs: milliseconds(r.Patience),
-		BaseServiceMs: milliseconds(r.Work), ObjectiveRemainingMs: signedMilliseconds(r.AimLeft),
+		Priority: r.Priority, RemainingMs: milliseconds(r.Remaining), QueueTimeoutMs: milliseconds(r.QueueTimeout),
+		BaseServiceMs: milliseconds(r.BaseServiceTime), ObjectiveRemainingMs: signedMilliseconds(r.ObjectiveRemaining),
 	}
 }
 
@@ -151,10 +151,10 @@
 	return &mesh.Request{
 		ID: b.ID, Method: b.Method, URI: b.URI, Host: b.Host, Header: b.Header, Body: b.Body,
 		Caller: b.Caller, Service: b.Service, Target: b.Target, Idempotent: b.Idempotent, Priority: b.Priority,
-		Left:     time.Duration(b.RemainingMs) * time.Millisecond,
-		Patience: time.Duration(b.QueueTimeoutMs) * time.Millisecond,
-		Work:     time.Duration(b.BaseServiceMs) * time.Millisecond,
-		AimLeft:  time.Duration(b.ObjectiveRemainingMs) * time.Millisecond,
+		Remaining:          time.Duration(b.RemainingMs) * time.Millisecond,
+		QueueTimeout:       time.Duration(b.QueueTimeoutMs) * time.Millisecond,
+		BaseServiceTime:    time.Duration(b.BaseServiceMs) * time.Millisecond,
+		ObjectiveRemaining: time.Duration(b.ObjectiveRemainingMs) * time.Millisecond,
 	}
 }
 
@@ -163,24 +163,24 @@
 func fromLoad(l mesh.Load) loadBody {
 	return loadBody{
 		Running: clip16(l.Running), Waiting: clip16(l.Waiting), Slots: clip16(l.Slots),
-		ServiceMs: clip16(int(l.Service.Milliseconds())), SlowdownPercent: clip16(int(100 * l.Slowdown)),
-		RecoversInMs: clip16(int(l.CalmIn.Milliseconds())), Leaving: l.Leaving, Revision: l.Revision,
-		Reading: l.Reading, SustainedPercent: clip16(int(100 * l.Standing)), Confirms: true,
+		ServiceMs: clip16(int(l.ServiceTime.Milliseconds())), SlowdownPercent: clip16(int(100 * l.Slowdown)),
+		RecoversInMs: clip16(int(l.RecoversIn.Milliseconds())), Leaving: l.Leaving, Revision: l.Revision,
+		Reading: l.ReadsStore, SustainedPercent: clip16(int(100 * l.SustainedSlowdown)), Confirms: true,
 	}
 }
 
 func (b loadBody) load() mesh.Load {
 	return mesh.Load{
 		Running: int(b.Running), Waiting: int(b.Waiting), Slots: int(b.Slots),
-		Service: time.Duration(b.ServiceMs) * time.Millisecond, Slowdown: float64(b.SlowdownPercent) / 100,
-		CalmIn:  time.Duration(b.RecoversInMs) * time.Millisecond,
-		Leaving: b.Leaving, Revision: b.Revision, Reading: b.Reading, Standing: float64(b.SustainedPercent) / 100,
+		ServiceTime: time.Duration(b.ServiceMs) * time.Millisecond, Slowdown: float64(b.SlowdownPercent) / 100,
+		RecoversIn: time.Duration(b.RecoversInMs) * time.Millisecond,
+		Leaving:    b.Leaving, Revision: b.Revision, ReadsStore: b.Reading, SustainedSlowdown: float64(b.SustainedPercent) / 100,
 	}
 }
 
 func fromError(e *kind.Error, load mesh.Load) *refusalBody {
 	return &refusalBody{
-		Kind: string(e.Kind), Message: e.Message, Outcome: string(e.Said()),
+		Kind: string(e.Kind), Message: e.Message, Outcome: string(e.ReportedOutcome()),
 		RetryAfterMs: milliseconds(e.RetryAfter), WaitMs: milliseconds(e.Wait),
 		FromBackend: e.FromBackend, Load: fromLoad(load),
 	}
--- a/internal/mesh/peer/lacking.go
+++ b/internal/mesh/peer/lacking.go
@@ -16,7 +16,7 @@
 // answerPace is the minimum pace of an answer. The answer may be queued behind requests of
 // the same node, so all received bytes count. The rate is higher than what small requests
 // reach, and lower than the share of a slow link that is left when many connections use it.
-var answerPace = progress.Pace{Stall: time.Second, Rate: 16 << 10}
+var answerPace = progress.Pace{StallTimeout: time.Second, BytesPerSecond: 16 << 10}
 
 // bootstrapper queries nodes that dial this one for their whole state while this node has
 // none. It queries one at a time: concurrent answers would share the node's link with each
@@ -50,7 +50,7 @@
 	if !b.active() {
 		return
 	}
-	waiting, watchdog := progress.Watch(ctx, answerPace.Stall)
+	waiting, watchdog := progress.Watch(ctx, answerPace.StallTimeout)
 	c.query.start(watchdog)
 	defer c.query.finish()
 	if c.sendFrame(frameStateQuery, 0, &stateQueryBody{Whole: true}) {
@@ -94,15 +94,15 @@
 		return
 	}
 	q.receivedBytes += int64(bytes)
-	q.watchdog.Feed(answerPace.Next(q.receivedBytes, time.Since(q.startedAt)))
+	q.watchdog.Feed(answerPace.NextTimeout(q.receivedBytes, time.Since(q.startedAt)))
 }
 
 // handleState passes an answer on; false closes the connection. A state that isn't empty
 // takes a while to take effect.
-func (q *pendingQuery) handleState(to *News, answer []byte) bool {
+func (q *pendingQuery) handleState(to *StateSync, answer []byte) bool {
 	q.extend(decodeTimeout)
 	ok := to.apply(answer)
-	settle := answerPace.Stall
+	settle := answerPace.StallTimeout
 	if len(answer) == 0 {
 		settle = 0
 	}
--- a/internal/mesh/peer/lacking_test.go
+++ b/internal/mesh/peer/lacking_test.go
@@ -53,7 +53,7 @@
 		<-ctx.Done()
 		return nil, kind.New(kind.OutcomeUnknown, "cancelled")
 	}}, mesh.Place{})
-	s.server.OnNews(func() bool { return !s.known.Load() }, News{Take: s.apply})
+	s.server.SetStateSync(func() bool { return !s.known.Load() }, StateSync{Apply: s.apply})
 	t.Cleanup(func() {
 		s.server.Close()
 		s.served.Wait()
@@ -100,12 +100,12 @@
 	for range nodes {
 		c = NewClient(mesh.Place{}, &loadRecorder{last: map[string]mesh.Load{}})
 		c.dial = func(string) (net.Conn, error) { return s.accept(t), nil }
-		c.OnNews(News{Give: func(q Question) []byte {
-			require.Equal(t, Question{Whole: true}, q)
+		c.SetStateSync(StateSync{Answer: func(q StateQuery) []byte {
+			require.Equal(t, StateQuery{Whole: true}, q)
 			return s.answerQuery(c)
 		}})
 		require.NoError(t, c.Warm(t.Context(), ""))
-		t.Cleanup(func() { c.Keep(nil) })
+		t.Cleanup(func() { c.CloseUnused(nil) })
 	}
 	return c
 }
@@ -129,7 +129,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := startBootstrap(t, func(*Client, int) []byte { return nil })
 		s.dialFrom(t, nodes)
-		time.Sleep(answerPace.Stall / 2)
+		time.Sleep(answerPace.StallTimeout / 2)
 		queries, most := s.stats()
 		require.Equal(t, nodes, queries)
 		require.Equal(t, 1, most)
@@ -152,7 +152,7 @@
 			return nil
 		}, 3},
 		"some disconnect": {func(_ *testing.T, c *Client) []byte {
-			c.Keep(nil)
+			c.CloseUnused(nil)
 			return nil
 		}, 3},
 	} {
--- a/internal/mesh/peer/link.go
+++ b/internal/mesh/peer/link.go
@@ -85,11 +85,11 @@
 	defer l.mu.Unlock()
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
-		return kind.New(kind.OutcomeUnknown, "the caller left").Because(ctx.Err())
+		return kind.New(kind.OutcomeUnknown, "the caller left").WithCause(ctx.Err())
 	case s.mayHaveRun():
-		return kind.New(kind.DeadlineUnknown, "timed out waiting for the target").Because(ctx.Err())
+		return kind.New(kind.DeadlineUnknown, "timed out waiting for the target").WithCause(ctx.Err())
 	}
-	return kind.New(kind.DeadlineNotRun, "timed out waiting for a slot at the target").Because(ctx.Err())
+	return kind.New(kind.DeadlineNotRun, "timed out waiting for a slot at the target").WithCause(ctx.Err())
 }
 
 // proceed allows the peer to run a request unless the caller no longer waits for it. false
@@ -224,9 +224,9 @@
 // closeError returns the error for a request whose connection broke.
 func (s *stream) closeError() *kind.Error {
 	if s.mayHaveRun() {
-		return kind.New(kind.OutcomeUnknown, "the connection to the target's node broke").Because(errConnLost)
+		return kind.New(kind.OutcomeUnknown, "the connection to the target's node broke").WithCause(errConnLost)
 	}
-	return kind.New(kind.Unreachable, "the connection to the target's node broke before the request ran").Because(errConnLost)
+	return kind.New(kind.Unreachable, "the connection to the target's node broke before the request ran").WithCause(errConnLost)
 }
 
 func (l *link) handleFrame(w *writer, t frameType, streamID uint32, body []byte) bool {
@@ -238,7 +238,7 @@
 		}
 		l.handleLoad(a.Load)
 		l.endStream(streamID, result{answer: &mesh.Answer{
-			Status: a.Status, Header: a.Header, Body: a.Body, Work: time.Duration(a.BaseServiceMs) * time.Millisecond,
+			Status: a.Status, Header: a.Header, Body: a.Body, BaseServiceTime: time.Duration(a.BaseServiceMs) * time.Millisecond,
 		}})
 	case frameRefusal:
 		var r refusalBody
--- a/internal/mesh/peer/news.go
+++ b/internal/mesh/peer/news.go
@@ -6,7 +6,7 @@
 )
 
 // StateQuery asks a node for the store state that it has.
-type Question struct {
+type StateQuery struct {
 	// After is the revision up to which the sender has the state.
 	After uint64
 	// Whole requests the whole state, however large it is.
@@ -15,26 +15,26 @@
 
 // StateSync answers state queries of other nodes and applies the states that they send.
 // Both are opaque to this package. Safe for concurrent use.
-type News struct {
+type StateSync struct {
 	// Answer returns the state for a query. If it is empty, the store has to be queried.
-	Give func(Question) []byte
+	Answer func(StateQuery) []byte
 	// Apply applies the answer to a query.
-	Take func(answer []byte)
+	Apply func(answer []byte)
 }
 
 var errNotConnected = eris.New("no connection to the peer is open")
 
 // apply passes an answer on; false closes the connection.
-func (s *News) apply(answer []byte) bool {
+func (s *StateSync) apply(answer []byte) bool {
 	if s == nil {
 		return false
 	}
-	s.Take(answer)
+	s.Apply(answer)
 	return true
 }
 
 // answer answers a query; false closes the connection.
-func (s *News) answer(w *writer, body []byte) bool {
+func (s *StateSync) answer(w *writer, body []byte) bool {
 	if s == nil {
 		return false
 	}
@@ -43,5 +43,5 @@
 		return false
 	}
 	// If the answer can't be sent, the connection is closed and is dialled again.
-	return w.send(rawFrame(frameState, s.Give(Question(query)))) == nil
+	return w.send(rawFrame(frameState, s.Answer(StateQuery(query)))) == nil
 }
--- a/internal/mesh/peer/peer_test.go
+++ b/internal/mesh/peer/peer_test.go
@@ -29,7 +29,7 @@
 }
 
 func (n fakeHandler) Load() mesh.Load {
-	return mesh.Load{Running: 2, Slots: 6, Slowdown: 1.5, CalmIn: 120 * time.Millisecond, Revision: 9}
+	return mesh.Load{Running: 2, Slots: 6, Slowdown: 1.5, RecoversIn: 120 * time.Millisecond, Revision: 9}
 }
 
 // loadRecorder is a Listener that keeps all reports and the last one of each node.
@@ -65,7 +65,7 @@
 	h = &loadRecorder{last: map[string]mesh.Load{}}
 	c = NewClient(here, h)
 	t.Cleanup(func() {
-		c.Keep(nil)
+		c.CloseUnused(nil)
 		_ = l.Close()
 		<-ended
 		s.Close()
@@ -77,12 +77,12 @@
 	got := make(chan *mesh.Request, 1)
 	addr, _, c, h := start(t, func(_ context.Context, r *mesh.Request) (*mesh.Answer, *kind.Error) {
 		got <- r
-		return &mesh.Answer{Status: 201, Header: http.Header{"A": {"b", "c"}}, Body: []byte("body"), Work: 30 * time.Millisecond}, nil
+		return &mesh.Answer{Status: 201, Header: http.Header{"A": {"b", "c"}}, Body: []byte("body"), BaseServiceTime: 30 * time.Millisecond}, nil
 	})
 	sent := &mesh.Request{
 		ID: "id", Method: "POST", URI: "/a?b", Host: "h", Header: http.Header{"X": {"y"}}, Body: bytes.Repeat([]byte("x"), bulkSize),
 		Caller: "shop", Service: "orders", Target: "i-1", Idempotent: true, Priority: 2,
-		Left: 900 * time.Millisecond, Patience: 20 * time.Millisecond, Work: 90 * time.Millisecond, AimLeft: -40 * time.Millisecond,
+		Remaining: 900 * time.Millisecond, QueueTimeout: 20 * time.Millisecond, BaseServiceTime: 90 * time.Millisecond, ObjectiveRemaining: -40 * time.Millisecond,
 	}
 	_, _, opened := c.link(linkKey{addr, true}).connect(t.Context())
 	require.NoError(t, opened)
@@ -92,7 +92,7 @@
 	require.Equal(t, 201, answer.Status)
 	require.Equal(t, []string{"b", "c"}, answer.Header["A"])
 	require.Equal(t, "body", string(answer.Body))
-	require.Equal(t, 30*time.Millisecond, answer.Work)
+	require.Equal(t, 30*time.Millisecond, answer.BaseServiceTime)
 	require.Equal(t, fakeHandler{}.Load(), h.load(addr))
 }
 
@@ -104,7 +104,7 @@
 	})
 	_, err := c.Run(t.Context(), addr, &mesh.Request{})
 	require.Equal(t, kind.Overloaded, err.Kind)
-	require.Equal(t, kind.NotRun, err.Said())
+	require.Equal(t, kind.NotRun, err.ReportedOutcome())
 	require.Equal(t, 70*time.Millisecond, err.Wait)
 	require.Equal(t, 90*time.Millisecond, err.RetryAfter)
 	require.True(t, err.FromBackend)
@@ -149,7 +149,7 @@
 		cancel()
 	}()
 	_, err := c.Run(ctx, addr, &mesh.Request{})
-	require.Equal(t, kind.Unknown, err.Said())
+	require.Equal(t, kind.Unknown, err.ReportedOutcome())
 	<-ended
 }
 
@@ -168,7 +168,7 @@
 	}()
 	_, err := c.Run(t.Context(), addr, &mesh.Request{})
 	require.Equal(t, kind.OutcomeUnknown, err.Kind)
-	require.Equal(t, kind.Unknown, err.Said())
+	require.Equal(t, kind.Unknown, err.ReportedOutcome())
 }
 
 // Guards against a request that waits until its deadline on a connection that accepts
@@ -199,23 +199,23 @@
 	c := NewClient(mesh.Place{}, &loadRecorder{})
 	_, failure := c.Run(t.Context(), addr, &mesh.Request{})
 	require.Equal(t, kind.Unreachable, failure.Kind)
-	require.Equal(t, kind.NotRun, failure.Said())
+	require.Equal(t, kind.NotRun, failure.ReportedOutcome())
 }
 
 func TestRegionReportsStayInRegion(t *testing.T) {
 	addr, s, near, h := start(t, nil)
 	far := &loadRecorder{last: map[string]mesh.Load{}}
 	other := NewClient(mesh.Place{VM: "b", Region: "sc"}, far)
-	defer other.Keep(nil)
+	defer other.CloseUnused(nil)
 	require.NoError(t, near.Warm(t.Context(), addr))
 	require.NoError(t, other.Warm(t.Context(), addr))
 	require.Eventually(t, func() bool {
-		s.Tell(mesh.Load{Slots: 3}, Region)
+		s.SendLoad(mesh.Load{Slots: 3}, ScopeRegion)
 		return h.load(addr).Slots == 3
 	}, time.Minute, time.Millisecond)
 	require.Zero(t, far.load(addr).Slots)
 	require.Eventually(t, func() bool {
-		s.Tell(mesh.Load{Slots: 4, Leaving: true}, Everybody)
+		s.SendLoad(mesh.Load{Slots: 4, Leaving: true}, ScopeAll)
 		return far.load(addr).Slots == 4 && far.load(addr).Leaving
 	}, time.Minute, time.Millisecond)
 }
@@ -228,14 +228,14 @@
 	})
 	idle := &loadRecorder{last: map[string]mesh.Load{}}
 	other := NewClient(mesh.Place{VM: "b", Region: "rs"}, idle)
-	defer other.Keep(nil)
+	defer other.CloseUnused(nil)
 	require.NoError(t, other.Warm(t.Context(), addr))
 	_, failure := user.Run(t.Context(), addr, &mesh.Request{})
 	require.Nil(t, failure)
-	s.Tell(mesh.Load{Slots: 3}, Users)
+	s.SendLoad(mesh.Load{Slots: 3}, ScopeSenders)
 	require.Eventually(t, func() bool { return h.load(addr).Slots == 3 }, time.Minute, time.Millisecond)
 	require.Eventually(t, func() bool {
-		s.Tell(mesh.Load{Slots: 4}, Region)
+		s.SendLoad(mesh.Load{Slots: 4}, ScopeRegion)
 		return idle.load(addr).Slots == 4
 	}, time.Minute, time.Millisecond)
 	idle.mu.Lock()
@@ -253,15 +253,15 @@
 			return &mesh.Answer{Status: 200}, nil
 		}}, mesh.Place{})
 		received := make(chan string, 1)
-		s.OnNews(func() bool { return needsState }, News{Take: func(state []byte) { received <- string(state) }})
+		s.SetStateSync(func() bool { return needsState }, StateSync{Apply: func(state []byte) { received <- string(state) }})
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
 			_ = s.Serve(l)
 		}()
 		c := NewClient(mesh.Place{}, &loadRecorder{last: map[string]mesh.Load{}})
-		c.OnNews(News{Give: func(q Question) []byte {
-			require.Equal(t, Question{Whole: true}, q)
+		c.SetStateSync(StateSync{Answer: func(q StateQuery) []byte {
+			require.Equal(t, StateQuery{Whole: true}, q)
 			return []byte("the whole state")
 		}})
 		_, failure := c.Run(t.Context(), l.Addr().String(), &mesh.Request{})
@@ -272,7 +272,7 @@
 		_, failure = c.Run(t.Context(), l.Addr().String(), &mesh.Request{})
 		require.Nil(t, failure)
 		require.Empty(t, received)
-		c.Keep(nil)
+		c.CloseUnused(nil)
 		require.NoError(t, l.Close())
 		<-ended
 		s.Close()
@@ -286,7 +286,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s := NewServer(fakeHandler{}, mesh.Place{})
-	s.OnNews(func() bool { return false }, News{Give: func(q Question) []byte {
+	s.SetStateSync(func() bool { return false }, StateSync{Answer: func(q StateQuery) []byte {
 		if q.After == 7 {
 			return []byte("since seven")
 		}
@@ -299,18 +299,18 @@
 	}()
 	addr, received := l.Addr().String(), make(chan string, 1)
 	c := NewClient(mesh.Place{}, &loadRecorder{last: map[string]mesh.Load{}})
-	c.OnNews(News{Take: func(answer []byte) { received <- string(answer) }})
+	c.SetStateSync(StateSync{Apply: func(answer []byte) { received <- string(answer) }})
 	t.Cleanup(func() {
-		c.Keep(nil)
+		c.CloseUnused(nil)
 		_ = l.Close()
 		<-ended
 		s.Close()
 	})
-	require.ErrorIs(t, c.Ask(addr, Question{After: 7}), errNotConnected)
+	require.ErrorIs(t, c.Ask(addr, StateQuery{After: 7}), errNotConnected)
 	require.NoError(t, c.Warm(t.Context(), addr))
-	require.NoError(t, c.Ask(addr, Question{After: 7}))
+	require.NoError(t, c.Ask(addr, StateQuery{After: 7}))
 	require.Equal(t, "since seven", <-received)
-	require.NoError(t, c.Ask(addr, Question{After: 8}))
+	require.NoError(t, c.Ask(addr, StateQuery{After: 8}))
 	require.Empty(t, <-received)
 }
 
--- a/internal/mesh/peer/server.go
+++ b/internal/mesh/peer/server.go
@@ -35,7 +35,7 @@
 	// lastRequest is when each VM last sent a request.
 	lastRequest map[string]time.Time
 	bootstrap   *bootstrapper
-	stateSync   *News
+	stateSync   *StateSync
 }
 
 // SetStateSync sets how state queries of other nodes are answered and how the states that
@@ -45,7 +45,7 @@
 // A node that starts while the store is unavailable knows no other node, and could not serve
 // requests until the store is available again. The other nodes still have its address and
 // keep dialling it.
-func (s *Server) OnNews(needsState func() bool, state News) {
+func (s *Server) SetStateSync(needsState func() bool, state StateSync) {
 	s.bootstrap, s.stateSync = newBootstrapper(needsState), &state
 }
 
@@ -59,7 +59,7 @@
 
 // Serve accepts connections on l until it is closed.
 func (s *Server) Serve(l net.Listener) error {
-	accept.Loop(l, accept.Pause, func() {}, func(c net.Conn) { go s.serve(c) })
+	accept.Loop(l, accept.RetryDelay, func() {}, func(c net.Conn) { go s.serve(c) })
 	return nil
 }
 
@@ -177,7 +177,7 @@
 		}
 		c.sendFrame(frameAnswer, stream, &answerBody{
 			Status: answer.Status, Header: answer.Header, Body: answer.Body, Load: fromLoad(load),
-			BaseServiceMs: milliseconds(answer.Work),
+			BaseServiceMs: milliseconds(answer.BaseServiceTime),
 		})
 	}()
 }
@@ -220,16 +220,16 @@
 }
 
 // Scope selects the nodes to which a load report is sent.
-type Reach uint8
+type Scope uint8
 
 // The scopes; each includes the nodes of the one before.
 const (
 	// ScopeSenders are the nodes of the local region that sent a request within senderWindow.
-	Users Reach = iota
+	ScopeSenders Scope = iota
 	// ScopeRegion are all nodes of the local region.
-	Region
+	ScopeRegion
 	// ScopeAll are all connected nodes.
-	Everybody
+	ScopeAll
 )
 
 // senderWindow is how long after its last request a node counts as a sender. At the rates
@@ -238,18 +238,18 @@
 const senderWindow = time.Second
 
 // inScope reports whether a report is sent to the node at the other end.
-func (c *serverConn) inScope(scope Reach, now time.Time) bool {
+func (c *serverConn) inScope(scope Scope, now time.Time) bool {
 	switch {
-	case scope == Everybody:
+	case scope == ScopeAll:
 		return true
 	case c.hello.Region != c.server.here.Region:
 		return false
 	}
-	return scope == Region || now.Sub(c.server.lastRequest[c.hello.VM]) < senderWindow
+	return scope == ScopeRegion || now.Sub(c.server.lastRequest[c.hello.VM]) < senderWindow
 }
 
 // SendLoad sends a load report to the nodes in scope.
-func (s *Server) Tell(l mesh.Load, scope Reach) {
+func (s *Server) SendLoad(l mesh.Load, scope Scope) {
 	frame, err := encode(frameLoad, 0, fromLoad(l))
 	if err != nil {
 		return
@@ -269,11 +269,11 @@
 }
 
 // StopBootstrap prevents further queries for the state of other nodes.
-func (s *Server) Stop() { s.bootstrap.stop() }
+func (s *Server) StopBootstrap() { s.bootstrap.stop() }
 
 // Close closes all connections.
 func (s *Server) Close() {
-	s.Stop()
+	s.StopBootstrap()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
--- a/internal/mesh/peer/slow_test.go
+++ b/internal/mesh/peer/slow_test.go
@@ -29,7 +29,7 @@
 		return near, nil
 	}
 	return c, s, func() {
-		c.Keep(nil)
+		c.CloseUnused(nil)
 		s.Close()
 		served.Wait()
 	}
@@ -37,7 +37,7 @@
 
 // drain stops a server once everything is delivered, within a minute.
 func drain(s *Server) {
-	s.Stop()
+	s.StopBootstrap()
 	for ends := time.Now().Add(time.Minute); !s.Delivered() && time.Now().Before(ends); {
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -92,20 +92,20 @@
 		s := NewServer(fakeHandler{func(context.Context, *mesh.Request) (*mesh.Answer, *kind.Error) {
 			return &mesh.Answer{Status: 200}, nil
 		}}, mesh.Place{})
-		s.OnNews(func() bool { return false }, News{Give: func(Question) []byte { return make([]byte, 4<<20) }})
+		s.SetStateSync(func() bool { return false }, StateSync{Answer: func(StateQuery) []byte { return make([]byte, 4<<20) }})
 		c := NewClient(mesh.Place{}, &loadRecorder{last: map[string]mesh.Load{}})
 		taken := make(chan int, 1)
-		c.OnNews(News{Take: func(state []byte) { taken <- len(state) }})
+		c.SetStateSync(StateSync{Apply: func(state []byte) { taken <- len(state) }})
 		near, far, _ := slowLink(t)
 		c.dial = func(string) (net.Conn, error) { return near, nil }
 		var served sync.WaitGroup
 		served.Go(func() { s.serve(far) })
 		require.NoError(t, c.Warm(t.Context(), ""))
-		require.NoError(t, c.Ask("", Question{Whole: true}))
+		require.NoError(t, c.Ask("", StateQuery{Whole: true}))
 		_, failure := c.Run(t.Context(), "", &mesh.Request{})
 		require.Nil(t, failure)
 		require.Equal(t, 4<<20, <-taken)
-		c.Keep(nil)
+		c.CloseUnused(nil)
 		served.Wait()
 	})
 }
--- a/internal/mesh/reader/bootstrap.go
+++ b/internal/mesh/reader/bootstrap.go
@@ -64,7 +64,7 @@
 		return false
 	}
 	f.clearAnswered()
-	if err := f.asker.Ask(addr, peer.Question{Whole: true}); err != nil {
+	if err := f.asker.Ask(addr, peer.StateQuery{Whole: true}); err != nil {
 		return false
 	}
 	waitCtx, stop := context.WithTimeout(ctx, snapshotTimeout)
@@ -76,7 +76,7 @@
 	if f.store.Revision() == 0 {
 		return false
 	}
-	f.log.Change("started from what another node knows", "node", addr, "revision", f.store.Revision())
+	f.log.Info("started from what another node knows", "node", addr, "revision", f.store.Revision())
 	return true
 }
 
--- a/internal/mesh/reader/bootstrap_test.go
+++ b/internal/mesh/reader/bootstrap_test.go
@@ -43,7 +43,7 @@
 	peers["10.2.0.1:8300"] = mesh.Peer{Zone: "rs-b", Distance: place.SameRegion}
 	a := &fakeAsker{}
 	known, took := runBootstrap(t, a, peers, func(_ *fakeStore, f *Follower) {
-		a.onAsk(func(string) { f.News(context.Background()).Take([]byte("all")) })
+		a.onAsk(func(string) { f.UpdateHandler(context.Background()).Apply([]byte("all")) })
 	})
 	require.EqualValues(t, 7, known)
 	require.Zero(t, took)
@@ -78,10 +78,10 @@
 		readAt := time.Now().Add(bootstrapTimeout / 2)
 		a.onAsk(func(string) {
 			if time.Now().Before(readAt) {
-				f.News(context.Background()).Take(nil)
+				f.UpdateHandler(context.Background()).Apply(nil)
 				return
 			}
-			f.News(context.Background()).Take([]byte("all"))
+			f.UpdateHandler(context.Background()).Apply([]byte("all"))
 		})
 	})
 	require.EqualValues(t, 7, known)
--- a/internal/mesh/reader/follower.go
+++ b/internal/mesh/reader/follower.go
@@ -44,7 +44,7 @@
 	// Warm opens a connection to a node if none is open.
 	Warm(ctx context.Context, addr string) error
 	// Ask sends a query to a node to which a connection is open.
-	Ask(addr string, q peer.Question) error
+	Ask(addr string, q peer.StateQuery) error
 }
 
 // Follower keeps a node's copy of the store up to date with what other nodes report.
@@ -73,8 +73,8 @@
 // HandleReport handles the store revision and reading state in a load report. It never
 // blocks: while one update is being fetched, further ones are dropped, and the next report
 // announces them again.
-func (f *Follower) Heard(addr string, l mesh.Load) {
-	f.table.RecordReport(addr, l.Reading)
+func (f *Follower) HandleReport(addr string, l mesh.Load) {
+	f.table.RecordReport(addr, l.ReadsStore)
 	known := f.store.Revision()
 	if known == 0 || l.Revision <= known {
 		return
@@ -127,9 +127,9 @@
 
 func (f *Follower) askPeer(u update) {
 	f.clearAnswered()
-	q := peer.Question{After: f.store.Revision()}
+	q := peer.StateQuery{After: f.store.Revision()}
 	if err := f.asker.Ask(u.addr, q); err != nil {
-		f.log.Change("cannot ask another node for its update", "node", u.addr, "error", err.Error())
+		f.log.Info("cannot ask another node for its update", "node", u.addr, "error", err.Error())
 	}
 }
 
@@ -142,7 +142,7 @@
 }
 
 func (f *Follower) refreshFromStore(u update) {
-	f.log.Change("another node has newer news, asking the store", "node", u.addr, "revision", u.revision, "known", f.store.Revision())
+	f.log.Info("another node has newer news, asking the store", "node", u.addr, "revision", u.revision, "known", f.store.Revision())
 	f.store.Refresh(u.revision)
 }
 
@@ -173,22 +173,22 @@
 
 // UpdateHandler returns the handler that answers state queries of other nodes and applies
 // their answers.
-func (f *Follower) News(ctx context.Context) peer.News {
-	return peer.News{
-		Give: func(q peer.Question) []byte {
+func (f *Follower) UpdateHandler(ctx context.Context) peer.StateSync {
+	return peer.StateSync{
+		Answer: func(q peer.StateQuery) []byte {
 			if q.Whole {
 				return f.store.Snapshot(0, 0)
 			}
 			return f.store.Snapshot(q.After, maxUpdateBytes)
 		},
-		Take: func(answer []byte) { f.handleAnswer(ctx, answer) },
+		Apply: func(answer []byte) { f.handleAnswer(ctx, answer) },
 	}
 }
 
 func (f *Follower) handleAnswer(ctx context.Context, answer []byte) {
 	if len(answer) > 0 {
 		if err := f.store.Restore(ctx, answer); err != nil {
-			f.log.Trouble("another node's news can't be used", "error", err.Error())
+			f.log.Warn("another node's news can't be used", "error", err.Error())
 		}
 	}
 	select {
