--- a/internal/mesh/reader/follower_test.go
+++ b/internal/mesh/reader/follower_test.go
@@ -83,7 +83,7 @@
 	return nil
 }
 
-func (a *fakeAsker) Ask(addr string, _ peer.Question) error {
+func (a *fakeAsker) Ask(addr string, _ peer.StateQuery) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.asked = append(a.asked, addr)
@@ -108,7 +108,7 @@
 func newFollower(s *fakeStore, a *fakeAsker) *Follower {
 	began := time.Now()
 	t := NewTable("10.1.0.9:8300", mesh.Place{Zone: "rs-a"}, func() time.Duration { return time.Since(began) })
-	t.SetView(&mesh.View{Own: &mesh.Target{}, Peers: map[string]mesh.Peer{"10.1.0.1:8300": {Zone: "rs-a"}, "10.2.0.1:8300": {Zone: "rs-b"}}})
+	t.SetView(&mesh.View{LocalTarget: &mesh.Target{}, Peers: map[string]mesh.Peer{"10.1.0.1:8300": {Zone: "rs-a"}, "10.2.0.1:8300": {Zone: "rs-b"}}})
 	return NewFollower(t, s, a, nil)
 }
 
@@ -128,9 +128,9 @@
 func TestUpdateIsFetchedFromTheNodeThatReportedIt(t *testing.T) {
 	s, a := &fakeStore{known: 4, stored: 7}, &fakeAsker{}
 	runFollower(t, s, a, func(f *Follower) {
-		a.onAsk(func(string) { f.News(t.Context()).Take([]byte("seven")) })
-		f.Heard(sameZoneNode, mesh.Load{Revision: 4})
-		f.Heard(sameZoneNode, mesh.Load{Revision: 7})
+		a.onAsk(func(string) { f.UpdateHandler(t.Context()).Apply([]byte("seven")) })
+		f.HandleReport(sameZoneNode, mesh.Load{Revision: 4})
+		f.HandleReport(sameZoneNode, mesh.Load{Revision: 7})
 		time.Sleep(50 * time.Millisecond)
 		s.locked(func() { require.Equal(t, []string{"seven"}, s.restored) })
 		require.Zero(t, s.refreshes())
@@ -142,7 +142,7 @@
 func TestReaderInLocalZoneIsPreferred(t *testing.T) {
 	s, a := &fakeStore{known: 4, stored: 7}, &fakeAsker{}
 	runFollower(t, s, a, func(f *Follower) {
-		f.Heard(otherZoneNode, mesh.Load{Revision: 7})
+		f.HandleReport(otherZoneNode, mesh.Load{Revision: 7})
 		time.Sleep(50 * time.Millisecond)
 		require.Empty(t, a.queries())
 		s.locked(func() { s.known = 7 })
@@ -158,13 +158,13 @@
 func TestStoreIsReadIfPeerSendsNoUpdate(t *testing.T) {
 	for name, answer := range map[string]func(*Follower) func(string){
 		"frozen":   func(*Follower) func(string) { return nil },
-		"too much": func(f *Follower) func(string) { return func(string) { f.News(t.Context()).Take(nil) } },
+		"too much": func(f *Follower) func(string) { return func(string) { f.UpdateHandler(t.Context()).Apply(nil) } },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, a := &fakeStore{known: 4, stored: 7}, &fakeAsker{}
 			runFollower(t, s, a, func(f *Follower) {
 				a.onAsk(answer(f))
-				f.Heard(sameZoneNode, mesh.Load{Revision: 7})
+				f.HandleReport(sameZoneNode, mesh.Load{Revision: 7})
 				time.Sleep(500 * time.Millisecond)
 				require.Equal(t, 1, s.refreshes())
 				require.EqualValues(t, 7, s.Revision())
@@ -179,8 +179,8 @@
 	for _, unavailable := range []bool{false, true} {
 		s, a := &fakeStore{known: 4, stored: 7, reading: true, unavailable: unavailable}, &fakeAsker{}
 		runFollower(t, s, a, func(f *Follower) {
-			a.onAsk(func(string) { f.News(t.Context()).Take([]byte("seven")) })
-			f.Heard(otherZoneNode, mesh.Load{Revision: 7})
+			a.onAsk(func(string) { f.UpdateHandler(t.Context()).Apply([]byte("seven")) })
+			f.HandleReport(otherZoneNode, mesh.Load{Revision: 7})
 			time.Sleep(100 * time.Millisecond)
 			require.Zero(t, s.refreshes(), "its own watch usually has the update by then")
 			time.Sleep(900 * time.Millisecond)
@@ -195,7 +195,7 @@
 func TestReportsAreIgnoredBeforeTheFirstRead(t *testing.T) {
 	s, a := &fakeStore{stored: 7}, &fakeAsker{}
 	runFollower(t, s, a, func(f *Follower) {
-		f.Heard(sameZoneNode, mesh.Load{Revision: 7})
+		f.HandleReport(sameZoneNode, mesh.Load{Revision: 7})
 		time.Sleep(time.Second)
 		require.Empty(t, a.queries())
 		require.Zero(t, s.refreshes())
--- a/internal/mesh/reader/table.go
+++ b/internal/mesh/reader/table.go
@@ -24,7 +24,7 @@
 	// read, it stays below the two seconds within which a change must be in force.
 	readerTimeout = 1200 * time.Millisecond
 	// ReportInterval is the longest pause between two reports of a reader to its zone.
-	ReportEvery = 500 * time.Millisecond
+	ReportInterval = 500 * time.Millisecond
 	// rankDelay is the additional wait for an unresponsive reader per node ranked before,
 	// and maxRankDelay limits the sum. Without the delay, all nodes of a zone would read
 	// the store at once when their reader freezes.
@@ -88,7 +88,7 @@
 		}
 	}
 	preceding := byZone[t.zone]
-	if v.Own != nil {
+	if v.LocalTarget != nil {
 		preceding = slices.DeleteFunc(preceding, func(addr string) bool { return rank(addr, t.own) > 0 })
 	}
 	t.mu.Lock()
@@ -145,7 +145,7 @@
 
 // ShouldRead reports whether this node must read the store itself, which is the case unless
 // a preceding node reports that it does. recheckAt is when to check again if not.
-func (t *Table) Reads() (reads bool, recheckAt time.Duration) {
+func (t *Table) ShouldRead() (reads bool, recheckAt time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -163,7 +163,7 @@
 const outageReaders = 2
 
 // IsPreferredReader reports whether this node ranks among the first outageReaders of its zone.
-func (t *Table) First() bool {
+func (t *Table) IsPreferredReader() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.preceding) < outageReaders
@@ -171,7 +171,7 @@
 
 // HasOtherReader reports whether another node has reported within readerTimeout that it reads
 // the store.
-func (t *Table) Served() bool {
+func (t *Table) HasOtherReader() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
--- a/internal/mesh/reader/table_test.go
+++ b/internal/mesh/reader/table_test.go
@@ -35,7 +35,7 @@
 
 // setView sets the View of a node.
 func (f *simZone) setView(addr string) {
-	v := &mesh.View{Own: &mesh.Target{}, Peers: map[string]mesh.Peer{
+	v := &mesh.View{LocalTarget: &mesh.Target{}, Peers: map[string]mesh.Peer{
 		"10.2.0.1:8300": {Zone: "rs-b"}, "10.2.0.2:8300": {Zone: "rs-b"}, "10.2.0.3:8300": {Zone: "rs-b"}, "10.3.0.1:8300": {Zone: "sc-a"},
 	}}
 	for _, other := range f.addrs {
@@ -50,7 +50,7 @@
 func (f *simZone) readers(alive func(string) bool) []string {
 	var list []string
 	for _, addr := range f.addrs {
-		if reads, _ := f.tables[addr].Reads(); alive(addr) && reads {
+		if reads, _ := f.tables[addr].ShouldRead(); alive(addr) && reads {
 			list = append(list, addr)
 		}
 	}
@@ -59,12 +59,12 @@
 
 // advance advances the clock by d. Every node that is alive reports each half second.
 func (f *simZone) advance(d time.Duration, alive func(string) bool) {
-	for end := f.now + d; f.now < end; f.now += ReportEvery / 10 {
+	for end := f.now + d; f.now < end; f.now += ReportInterval / 10 {
 		for i, addr := range f.addrs {
-			if !alive(addr) || (int(f.now/(ReportEvery/10))+i)%10 != 0 {
+			if !alive(addr) || (int(f.now/(ReportInterval/10))+i)%10 != 0 {
 				continue
 			}
-			reads, _ := f.tables[addr].Reads()
+			reads, _ := f.tables[addr].ShouldRead()
 			for _, other := range f.addrs {
 				if other != addr {
 					f.tables[other].RecordReport(addr, reads)
@@ -125,7 +125,7 @@
 		require.Less(t, f.now-frozen, 1600*time.Millisecond)
 	}
 	for range 100 {
-		f.advance(ReportEvery/10, awake)
+		f.advance(ReportInterval/10, awake)
 		most = max(most, len(f.readers(awake)))
 	}
 	require.Less(t, most, len(f.addrs))
@@ -156,9 +156,9 @@
 	f := newSimZone(8)
 	f.advance(5*time.Second, allAlive)
 	for range 100 {
-		f.now += ReportEvery / 10
+		f.now += ReportInterval / 10
 		for i, addr := range f.addrs {
-			reads, _ := f.tables[addr].Reads()
+			reads, _ := f.tables[addr].ShouldRead()
 			for k, other := range f.addrs {
 				if other != addr && i%2 == k%2 {
 					f.tables[other].RecordReport(addr, reads)
@@ -169,7 +169,7 @@
 	for half := range 2 {
 		n := 0
 		for i, addr := range f.addrs {
-			if reads, _ := f.tables[addr].Reads(); reads && i%2 == half {
+			if reads, _ := f.tables[addr].ShouldRead(); reads && i%2 == half {
 				n++
 			}
 		}
@@ -187,10 +187,10 @@
 		addr := fmt.Sprintf("10.9.0.%d:8300", rand.New(rand.NewPCG(seed, seed)).IntN(250))
 		f.addrs = append(f.addrs, addr)
 		f.setView(reader)
-		reads, _ := f.tables[reader].Reads()
+		reads, _ := f.tables[reader].ShouldRead()
 		require.True(t, reads)
 		f.tables[reader].RecordReport(addr, true)
-		reads, _ = f.tables[reader].Reads()
+		reads, _ = f.tables[reader].ShouldRead()
 		require.Equal(t, rank(addr, reader) > 0, reads)
 	}
 }
@@ -210,13 +210,13 @@
 	other := slices.Sorted(maps.Keys(unknown.Peers))[0]
 	first.SetView(unknown)
 	first.RecordReport(other, true)
-	reads, _ := first.Reads()
+	reads, _ := first.ShouldRead()
 	require.False(t, reads)
-	require.False(t, first.First())
+	require.False(t, first.IsPreferredReader())
 	for addr := range unknown.Peers {
 		first.RecordReport(addr, false)
 	}
-	reads, _ = first.Reads()
+	reads, _ = first.ShouldRead()
 	require.True(t, reads, "no other node reads")
 }
 
@@ -226,17 +226,17 @@
 	f.advance(5*time.Second, allAlive)
 	n := 0
 	for _, table := range f.tables {
-		if table.First() {
+		if table.IsPreferredReader() {
 			n++
 		}
-		require.True(t, table.Served() || len(table.preceding) == 0)
+		require.True(t, table.HasOtherReader() || len(table.preceding) == 0)
 	}
 	require.Equal(t, outageReaders, n)
 	for _, table := range f.tables {
 		for _, addr := range f.addrs {
 			table.RecordReport(addr, false)
 		}
-		require.False(t, table.Served())
+		require.False(t, table.HasOtherReader())
 	}
 }
 
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -62,7 +62,7 @@
 	fillLearnt = "learnt"
 )
 
-var table = inifile.Table[Settings]{EmptyIsMissing: true, Free: []string{zonesSection}, Fields: []inifile.Field[Settings]{
+var table = inifile.Table[Settings]{EmptyIsMissing: true, FreeSections: []string{zonesSection}, Fields: []inifile.Field[Settings]{
 	inifile.Required("node", "vm", "a name", text(func(s *Settings) *string { return &s.Here.VM })),
 	inifile.Required("node", "ip", "an IP address", ip),
 	inifile.Required("node", "zone", "a name", text(func(s *Settings) *string { return &s.Here.Zone })),
@@ -109,7 +109,7 @@
 		s.Regions[key.Name()] = key.String()
 	}
 	if len(s.Regions) == 0 {
-		faults = append(faults, inifile.Fault{File: file, Line: 1, Key: zonesSection, Wrong: "missing", Allowed: "a line ZONE = REGION for each availability zone"})
+		faults = append(faults, inifile.Fault{File: file, Line: 1, Key: zonesSection, Problem: "missing", Allowed: "a line ZONE = REGION for each availability zone"})
 	}
 	if len(faults) > 0 {
 		return nil, faults
--- a/internal/mesh/stat.go
+++ b/internal/mesh/stat.go
@@ -46,10 +46,11 @@
 	Busy, Slots int
 	// ServiceTime is the average time for which a slot is held.
 	ServiceTime time.Duration `json:"Service"`
-	// Slowdown is the expected slowdown, from the last report and its age. Standing is the
+	// Slowdown is the expected slowdown, from the last report and its age. SustainedSlowdown is the
 	// part that is expected to be sustained after RecoversIn.
-	Slowdown, Standing float64
-	RecoversIn         time.Duration `json:"CalmIn"`
+	Slowdown          float64
+	SustainedSlowdown float64       `json:"Standing"`
+	RecoversIn        time.Duration `json:"CalmIn"`
 	// FailureRate is the share of requests that fail, decayed by age.
 	FailureRate float64 `json:"Failing"`
 	// Avoid is true if no requests should go to the target for the time being, Leaving if the
@@ -126,22 +127,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := Estimate{
-		Known: s.reported, Age: now - s.reportedAt, Slowdown: 1, Standing: 1, Busy: s.inFlight,
+		Known: s.reported, Age: now - s.reportedAt, Slowdown: 1, SustainedSlowdown: 1, Busy: s.inFlight,
 		FailureRate: s.decayedFailureRate(now), Avoid: now < s.avoidUntil,
 	}
 	if !s.reported {
 		return e
 	}
-	e.Slots, e.ServiceTime, e.Leaving = s.load.Slots, s.load.Service, s.load.Leaving
+	e.Slots, e.ServiceTime, e.Leaving = s.load.Slots, s.load.ServiceTime, s.load.Leaving
 	e.Busy = max(s.load.Running+s.load.Waiting+s.sent, s.inFlight)
-	sustained := max(s.load.Standing, 1)
-	if s.load.CalmIn == 0 {
+	sustained := max(s.load.SustainedSlowdown, 1)
+	if s.load.RecoversIn == 0 {
 		sustained = max(s.load.Slowdown, 1)
 	}
-	e.Standing = 1 + (sustained-1)*decay(e.Age, slowdownMemory)
-	e.Slowdown = e.Standing
-	if s.load.CalmIn > e.Age {
-		e.Slowdown, e.RecoversIn = max(s.load.Slowdown, e.Standing), s.load.CalmIn-e.Age
+	e.SustainedSlowdown = 1 + (sustained-1)*decay(e.Age, slowdownMemory)
+	e.Slowdown = e.SustainedSlowdown
+	if s.load.RecoversIn > e.Age {
+		e.Slowdown, e.RecoversIn = max(s.load.Slowdown, e.SustainedSlowdown), s.load.RecoversIn-e.Age
 	}
 	return e
 }
--- a/internal/mesh/stat_test.go
+++ b/internal/mesh/stat_test.go
@@ -14,7 +14,7 @@
 func TestTransientSlowdownCountsUntilItsEnd(t *testing.T) {
 	const baseServiceTime = 90 * time.Millisecond
 	var s mesh.Stat
-	s.Report(mesh.Load{Slots: 6, Slowdown: 4, CalmIn: 150 * time.Millisecond}, time.Second)
+	s.Report(mesh.Load{Slots: 6, Slowdown: 4, RecoversIn: 150 * time.Millisecond}, time.Second)
 	require.Equal(t, 150*time.Millisecond, s.Estimate(time.Second).SlowdownDelay(baseServiceTime), "waiting for the recovery is shorter than running slowly")
 	require.Equal(t, 50*time.Millisecond, s.Estimate(1100*time.Millisecond).SlowdownDelay(baseServiceTime))
 	require.Equal(t, 30*time.Millisecond, s.Estimate(1100*time.Millisecond).SlowdownDelay(10*time.Millisecond), "a short request starts at once")
--- a/internal/mesh/target.go
+++ b/internal/mesh/target.go
@@ -56,7 +56,7 @@
 	// Targets are the usable targets of each service, nearest first.
 	Targets map[string][]*Target
 	// LocalTarget is the target beside the node, or nil while it isn't registered.
-	Own *Target
+	LocalTarget *Target
 	// Peers are all other nodes, by the address at which they accept requests from nodes.
 	Peers map[string]Peer
 }
--- a/internal/mesh/weights.go
+++ b/internal/mesh/weights.go
@@ -9,13 +9,13 @@
 // A random draw would deviate from the weights by several percent over the few hundred
 // requests by which operators judge a split. Splitters start in random states, as otherwise
 // all nodes would send their first requests to the same service. Safe for concurrent use.
-type Weights struct {
+type Splitter struct {
 	mu     sync.Mutex
 	credit []float64
 }
 
 // Next returns the service for the next request.
-func (w *Weights) Next(shares []Share) string {
+func (w *Splitter) Next(shares []Share) string {
 	if len(shares) == 1 {
 		return shares[0].Service
 	}
@@ -41,7 +41,7 @@
 
 // randomize sets the credit of each share to a random part of its weight. The mutex must be
 // held.
-func (w *Weights) randomize(shares []Share) {
+func (w *Splitter) randomize(shares []Share) {
 	w.credit = make([]float64, len(shares))
 	for i, s := range shares {
 		w.credit[i] = rand.Float64() * s.Weight
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -170,7 +170,7 @@
 
 // LabelledCounter registers a counter with constant labels whose value is read at
 // each scrape.
-func (m *Metrics) LabelledFunc(name, help string, labels map[string]string, read func() uint64) {
+func (m *Metrics) LabelledCounter(name, help string, labels map[string]string, read func() uint64) {
 	m.Registry.MustRegister(prometheus.NewCounterFunc(
 		prometheus.CounterOpts{Name: name, Help: help, ConstLabels: labels}, func() float64 { return float64(read()) }))
 }
--- a/internal/node/counters.go
+++ b/internal/node/counters.go
@@ -36,19 +36,19 @@
 
 func (c *serverCounters) register(m *metrics.Metrics, name string) {
 	labels := map[string]string{"server": name}
-	m.LabelledFunc("limpetdock_http_server_errors_total",
+	m.LabelledCounter("limpetdock_http_server_errors_total",
 		"Errors of connections and handlers that the HTTP server met.", labels, c.errors.Load)
-	m.LabelledFunc("limpetdock_http_connections_total",
+	m.LabelledCounter("limpetdock_http_connections_total",
 		"Connections accepted.", labels, c.accepted.Load)
-	m.LabelledFunc("limpetdock_http_connections_refused_total",
+	m.LabelledCounter("limpetdock_http_connections_refused_total",
 		"Connections closed at once because their address had too many.", labels, c.refused.Load)
-	m.LabelledFunc("limpetdock_http_idle_closed_total",
+	m.LabelledCounter("limpetdock_http_idle_closed_total",
 		"Idle connections closed for new ones at the target's limit of connections.", labels, c.idleClosed.Load)
-	m.LabelledFunc("limpetdock_http_no_room_total",
+	m.LabelledCounter("limpetdock_http_no_room_total",
 		"Requests refused because the target's connections were all busy.", labels, c.allBusy.Load)
-	m.LabelledFunc("limpetdock_http_panics_total",
+	m.LabelledCounter("limpetdock_http_panics_total",
 		"Requests whose handler broke down; a fault of the program.", labels, c.panics.Load)
-	m.LabelledFunc("limpetdock_http_stalled_total",
+	m.LabelledCounter("limpetdock_http_stalled_total",
 		"Exchanges cut because the other end stopped sending or reading.", labels, c.stalled.Load)
 }
 
--- a/internal/node/gauges.go
+++ b/internal/node/gauges.go
@@ -39,8 +39,8 @@
 		{"limpetdock_config_behind_total", "Requests that showed a peer under another configuration.", func(c core.Counters) uint64 { return c.Behind }},
 		{"limpetdock_suspicions_total", "Peers that this node came to suspect.", func(c core.Counters) uint64 { return c.Suspicions }},
 		{"limpetdock_name_clashes_total", "News of another process under this VM's name.", func(c core.Counters) uint64 { return c.NameClashes }},
-		{"limpetdock_key_tables_kept_total", "Key tables of stopping peers that this node has kept.", func(c core.Counters) uint64 { return c.Keys.Kept }},
-		{"limpetdock_key_tables_given_total", "Key tables that this node gave to a peer's next process.", func(c core.Counters) uint64 { return c.Keys.Given }},
+		{"limpetdock_key_tables_kept_total", "Key tables of stopping peers that this node has kept.", func(c core.Counters) uint64 { return c.Keys.Stored }},
+		{"limpetdock_key_tables_given_total", "Key tables that this node gave to a peer's next process.", func(c core.Counters) uint64 { return c.Keys.Sent }},
 		{"limpetdock_key_tables_dropped_total", "Key tables that this node kept and no process came for in time.", func(c core.Counters) uint64 { return c.Keys.Dropped }},
 		{"limpetdock_key_tables_refused_total", "Offers of key tables, and questions for them, that this node refused.", func(c core.Counters) uint64 { return c.Keys.Refused }},
 	}
@@ -89,8 +89,8 @@
 		name, help string
 		value      *atomic.Uint64
 	}{
-		{"limpetdock_progress_checks_total", "Questions to targets about exchanges in which nothing moved.", &e.Counters().Checks},
-		{"limpetdock_silent_connections_total", "Exchanges given up because their connection had gone silent.", &e.Counters().Silent},
+		{"limpetdock_progress_checks_total", "Questions to targets about exchanges in which nothing moved.", &e.Counters().ProgressChecks},
+		{"limpetdock_silent_connections_total", "Exchanges given up because their connection had gone silent.", &e.Counters().UnresponsiveConnections},
 		{"limpetdock_attempts_resolved_total", "At-most-once attempts whose fate had to be asked for.", &e.Counters().Resolved},
 		{"limpetdock_attempts_refused_total", "Copies of attempts that the guard didn't run: stale, conflicting, or of a key not taken.", &g.Counters.Refused},
 		{"limpetdock_attempts_sealed_total", "Answers of the guard that an attempt is sealed and will never run.", &g.Counters.Sealed},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -100,8 +100,8 @@
 			if err := p.Servers.listen(); err != nil {
 				return err
 			}
-			p.Guard.OnBehind(p.Loop.Behind)
-			p.Entry.OnBehind(p.Loop.Behind)
+			p.Guard.OnStaleConfig(p.Loop.Behind)
+			p.Entry.OnStaleConfig(p.Loop.Behind)
 			p.Loop.Start()
 			p.Servers.serve(func(err error) {
 				p.Log.Error(err, "server ended")
--- a/internal/node/room.go
+++ b/internal/node/room.go
@@ -76,7 +76,7 @@
 		conn, _ := req.Context().Value(connKey{}).(net.Conn)
 		if !r.admits(conn) {
 			w.Header().Set("Connection", "close")
-			req = req.WithContext(guard.NoRoom(req.Context()))
+			req = req.WithContext(guard.WithoutCapacity(req.Context()))
 		}
 		h.ServeHTTP(w, req)
 	})
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -36,7 +36,7 @@
 	if err := p.Servers.callers.server.Shutdown(limit); err != nil {
 		p.Log.Error(err, "callers cut off at the stop limit")
 	}
-	p.Entry.WaitCopies(limit)
+	p.Entry.WaitHedges(limit)
 	p.waitForRuns(limit)
 	p.transferKeys()
 	if err := p.Servers.guard.server.Shutdown(limit); err != nil {
--- a/internal/pick/cost.go
+++ b/internal/pick/cost.go
@@ -34,7 +34,7 @@
 }
 
 // RecordReport stores a target's load. A free slot sets one idle hint.
-func (t *Target) Report(r Report) {
+func (t *Target) RecordReport(r Report) {
 	r.own = int(t.Stat.InFlight.Load())
 	t.Stat.report.Store(&r)
 	t.Stat.load.Store(loadOf(r))
@@ -47,7 +47,7 @@
 }
 
 // LastReport returns the last report, or nil.
-func (t *Target) Reported() *Report { return t.Stat.report.Load() }
+func (t *Target) LastReport() *Report { return t.Stat.report.Load() }
 
 // inFlight returns the node's own requests in flight at the target, plus a penalty
 // for recent failures.
--- a/internal/pick/gather.go
+++ b/internal/pick/gather.go
@@ -28,7 +28,7 @@
 
 // classify determines every target's eligibility and the worst one that candidates
 // may have.
-func (g *candidateSet) classify(s *Service, a *Ask) {
+func (g *candidateSet) classify(s *Service, a *Selection) {
 	g.reset()
 	outliers := 0
 	for _, t := range s.Targets {
@@ -44,7 +44,7 @@
 	}
 }
 
-func (t *Target) eligibility(a *Ask) eligibility {
+func (t *Target) eligibility(a *Selection) eligibility {
 	if t.Leaving {
 		return leaving
 	}
@@ -54,7 +54,7 @@
 // collect collects the targets that may be chosen, by region. When none is usable,
 // it falls back to the best of the others: an attempt may succeed, while without a
 // target the request is refused for certain.
-func (g *candidateSet) collect(s *Service, a *Ask) {
+func (g *candidateSet) collect(s *Service, a *Selection) {
 	g.classify(s, a)
 	for worst := g.worst; worst <= leaving; worst++ {
 		g.collectHome(s, a, worst)
@@ -74,7 +74,7 @@
 }
 
 // collectFar collects the other regions' targets that are not worse than worst.
-func (g *candidateSet) collectFar(s *Service, a *Ask, worst eligibility) {
+func (g *candidateSet) collectFar(s *Service, a *Selection, worst eligibility) {
 	g.far = g.far[:0]
 	for i := s.InRegion; i < len(s.Targets); i++ {
 		if g.eligibility[i] <= worst && s.Targets[i].mayTry(a.Tried) {
@@ -84,7 +84,7 @@
 }
 
 // collectHome collects the own region's targets that are not worse than worst.
-func (g *candidateSet) collectHome(s *Service, a *Ask, worst eligibility) {
+func (g *candidateSet) collectHome(s *Service, a *Selection, worst eligibility) {
 	g.home, g.inZone = g.home[:0], 0
 	for i, t := range s.Targets[:s.InRegion] {
 		if g.eligibility[i] > worst || !t.mayTry(a.Tried) {
--- a/internal/pick/health.go
+++ b/internal/pick/health.go
@@ -57,7 +57,7 @@
 func (s *Stat) recordOutcome(now time.Duration, o Outcome, rnd *rand.Rand) {
 	h := s.health.Load()
 	switch o {
-	case Neutral, Late, Outrun:
+	case Neutral, Late, Superseded:
 	case Good:
 		s.countFailure(now, 0)
 		s.recordSuccess(h, now)
@@ -139,7 +139,7 @@
 
 // Excluded reports whether the target is excluded at now, because of a refusal,
 // failures, or because it is unreachable.
-func (s *Stat) PassedOver(now time.Duration) bool {
+func (s *Stat) Excluded(now time.Duration) bool {
 	h := s.health.Load()
 	return s.Avoided(now) || h != nil && h.phase != ramping && now < h.until
 }
--- a/internal/pick/health_test.go
+++ b/internal/pick/health_test.go
@@ -19,7 +19,7 @@
 	once, never := s.Targets[0], s.Targets[1]
 	rnd := rand.New(rand.NewPCG(1, 1))
 	answer := func(target *Target, at time.Duration, o Outcome) {
-		target.Headers(target.Begin(at, true), at+5*time.Millisecond, o, rnd)
+		target.RecordOutcome(target.Begin(at, true), at+5*time.Millisecond, o, rnd)
 		target.End()
 	}
 	answer(once, 0, Failed)
--- a/internal/pick/hedge.go
+++ b/internal/pick/hedge.go
@@ -9,7 +9,7 @@
 // HedgeDelay returns how long a request may be unanswered before a copy of it is
 // sent to another target: the 95th percentile of the durations of this entry's
 // recent exchanges, or 0 while it isn't known.
-func (s *Service) HedgeAfter() time.Duration {
+func (s *Service) HedgeDelay() time.Duration {
 	high := s.shared.exchangeTimes.percentile95()
 	if high == 0 {
 		return 0
@@ -18,13 +18,13 @@
 }
 
 // RecordDuration records the duration of an exchange with a complete answer.
-func (s *Service) Took(took time.Duration) { s.shared.exchangeTimes.add(took) }
+func (s *Service) RecordDuration(took time.Duration) { s.shared.exchangeTimes.add(took) }
 
 // RecordCanceled records the time after which an exchange was canceled. Its answer
 // would have taken longer, so it counts as a slow one. Without these samples the
 // percentile would fall with every copy that wins, and more copies would be sent.
-func (s *Service) TookOver(took time.Duration) {
-	if took >= s.HedgeAfter() {
+func (s *Service) RecordCanceled(took time.Duration) {
+	if took >= s.HedgeDelay() {
 		s.shared.exchangeTimes.add(took)
 	}
 }
@@ -33,7 +33,7 @@
 // copy's target. Unlike a retry, a copy is optional: it is sent only to a target that
 // is healthy and appears to have a free slot, and to another region only if the own
 // one has no other target. A recent refusal shows overload, in which copies do harm.
-func (s *Service) ChooseHedge(a *Ask) *Target {
+func (s *Service) ChooseHedge(a *Selection) *Target {
 	g := &a.candidates
 	g.classify(s, a)
 	if g.collectHome(s, a, usable); len(g.home) > 0 {
--- a/internal/pick/hedge_test.go
+++ b/internal/pick/hedge_test.go
@@ -95,7 +95,7 @@
 			c.change(s.Targets[:3], s.Targets[3:])
 			got := map[string]bool{}
 			for range 200 {
-				ask := &Ask{Draw: Draw{Now: time.Second, Rand: SharedRand}, Tried: s.Targets[c.first : c.first+1]}
+				ask := &Selection{Draw: Draw{Now: time.Second, Rand: SharedRand}, Tried: s.Targets[c.first : c.first+1]}
 				if chosen := s.ChooseHedge(ask); chosen != nil {
 					got[chosen.VM] = true
 				}
@@ -117,18 +117,18 @@
 		target := s.Targets[0]
 		for range 50 {
 			m := target.Begin(0, true)
-			target.Headers(m, 10*time.Millisecond, Good, SharedRand)
+			target.RecordOutcome(m, 10*time.Millisecond, Good, SharedRand)
 			target.End()
 		}
 		m := target.Begin(time.Second, true)
-		target.Headers(m, time.Second+took, o, SharedRand)
+		target.RecordOutcome(m, time.Second+took, o, SharedRand)
 		target.End()
 		return target
 	}
 	now := time.Second + time.Millisecond
 	before := end(0, Neutral).Cost(now)
-	require.Equal(t, before, end(2*time.Millisecond, Outrun).Cost(now), "a time below the average is no evidence")
-	slow := end(time.Second, Outrun)
+	require.Equal(t, before, end(2*time.Millisecond, Superseded).Cost(now), "a time below the average is no evidence")
+	slow := end(time.Second, Superseded)
 	require.Greater(t, slow.Cost(now), 5*before)
 	require.Zero(t, slow.Stat.failing.Load())
 	require.Nil(t, slow.Stat.health.Load())
--- a/internal/pick/policy_test.go
+++ b/internal/pick/policy_test.go
@@ -87,13 +87,13 @@
 	s := newService(fleet.DefaultPolicy, Place{"x", "r0z0", "r0"}, places(1, 1, 2), simSlots, NewEntries(places(1, 1, 2)))
 	liar, honest := s.Targets[0], s.Targets[1]
 	for _, target := range s.Targets {
-		target.Headers(target.Begin(0, true), 5*time.Millisecond, Good, rand.New(rand.NewPCG(1, 1)))
+		target.RecordOutcome(target.Begin(0, true), 5*time.Millisecond, Good, rand.New(rand.NewPCG(1, 1)))
 		target.End()
 	}
 	liar.Begin(10*time.Millisecond, true)
 	now := 60 * time.Millisecond
-	liar.Report(Report{Slots: simSlots, At: now, Service: time.Microsecond})
-	honest.Report(Report{Running: 3, Slots: simSlots, At: now, Service: 5 * time.Millisecond})
+	liar.RecordReport(Report{Slots: simSlots, At: now, Service: time.Microsecond})
+	honest.RecordReport(Report{Running: 3, Slots: simSlots, At: now, Service: 5 * time.Millisecond})
 	require.Less(t, honest.Cost(now), liar.Cost(now))
 }
 
@@ -110,9 +110,9 @@
 		}
 		s := newService(policy, Place{"here", "r0z0", "r0"}, mine, 9, entries)
 		for _, target := range s.Targets {
-			target.Headers(target.Begin(0, true), time.Millisecond, Good, SharedRand)
+			target.RecordOutcome(target.Begin(0, true), time.Millisecond, Good, SharedRand)
 			target.Begin(time.Millisecond, true)
-			target.Report(Report{Running: 3, Slots: 9, Service: time.Millisecond, At: time.Millisecond})
+			target.RecordReport(Report{Running: 3, Slots: 9, Service: time.Millisecond, At: time.Millisecond})
 		}
 		services = append(services, s)
 	}
@@ -122,7 +122,7 @@
 func TestPickDoesNotAllocate(t *testing.T) {
 	for _, p := range policies {
 		services := fullSize(p)
-		i, ask := 0, &Ask{Draw: Draw{Rand: SharedRand}}
+		i, ask := 0, &Selection{Draw: Draw{Rand: SharedRand}}
 		allocs := testing.AllocsPerRun(2000, func() {
 			i++
 			ask.Now = time.Duration(i) * time.Millisecond
@@ -137,7 +137,7 @@
 		b.Run(p, func(b *testing.B) {
 			services := fullSize(p)
 			b.ReportAllocs()
-			i, ask := 0, &Ask{Draw: Draw{Rand: SharedRand}}
+			i, ask := 0, &Selection{Draw: Draw{Rand: SharedRand}}
 			for b.Loop() {
 				i++
 				ask.Now = time.Duration(i) * time.Microsecond
@@ -148,7 +148,7 @@
 }
 
 func pickAt(s *Service, now time.Duration) *Target {
-	return s.Choose(&Ask{Draw: Draw{now, SharedRand}})
+	return s.Choose(&Selection{Draw: Draw{now, SharedRand}})
 }
 
 func TestEveryPolicyUsesEveryTarget(t *testing.T) {
--- a/internal/pick/probe.go
+++ b/internal/pick/probe.go
@@ -22,7 +22,7 @@
 	var fastest, fewest float64
 	fresh := 0
 	for _, t := range among {
-		r := t.Reported()
+		r := t.LastReport()
 		if r == nil || d.Now-r.At > probeFresh {
 			continue
 		}
@@ -53,19 +53,19 @@
 }
 
 // ChosenWithin reports whether a target was chosen by probes within the last d.
-func (s *Service) AskedWithin(now, d time.Duration) bool {
+func (s *Service) ChosenWithin(now, d time.Duration) bool {
 	at := s.shared.lastChosen.Load()
 	return at != 0 && now-time.Duration(at) <= d
 }
 
 // ProbeTarget returns the target to probe next: of two random ones the one with the
 // older report. It returns nil if that one has no address or there are no targets.
-func (s *Service) Stalest(d Draw) *Target {
+func (s *Service) ProbeTarget(d Draw) *Target {
 	if len(s.Targets) == 0 {
 		return nil
 	}
 	a, b := twoOf(d.Rand, s.Targets)
-	ra, rb := a.Reported(), b.Reported()
+	ra, rb := a.LastReport(), b.LastReport()
 	if ra != nil && (rb == nil || rb.At < ra.At) {
 		a = b
 	}
--- a/internal/pick/region_test.go
+++ b/internal/pick/region_test.go
@@ -107,9 +107,9 @@
 	home.Begin(0, true)
 	s.shared.spill.share.Store(spillUnit)
 	now := 500 * time.Millisecond
-	ask := &Ask{Draw: Draw{now, SharedRand}, Left: 10 * time.Millisecond}
+	ask := &Selection{Draw: Draw{now, SharedRand}, Remaining: 10 * time.Millisecond}
 	require.Same(t, home, s.Choose(ask))
-	ask.Left = time.Second
+	ask.Remaining = time.Second
 	require.NotSame(t, home, s.Choose(ask))
 }
 
@@ -120,7 +120,7 @@
 		s := newService(fleet.PolicyRandom, Place{"x", "r0z0", "r0"}, places(1, 1, 6), simSlots, NewEntries(places(1, 1, 6)))
 		for _, target := range s.Targets[:failing] {
 			for range 10 {
-				target.Headers(target.Begin(0, true), time.Millisecond, Failed, SharedRand)
+				target.RecordOutcome(target.Begin(0, true), time.Millisecond, Failed, SharedRand)
 				target.End()
 			}
 		}
@@ -142,8 +142,8 @@
 func TestNewIncarnationIsRamped(t *testing.T) {
 	s := newService(fleet.PolicyRandom, Place{"x", "r0z0", "r0"}, places(1, 1, 2), simSlots, NewEntries(places(1, 1, 2)))
 	fresh := s.Targets[0]
-	fresh.Stat.Learn(Identity{Incarnation: 1})
-	fresh.Stat.Learn(Identity{Incarnation: 2})
+	fresh.Stat.UpdateIdentity(Identity{Incarnation: 1})
+	fresh.Stat.UpdateIdentity(Identity{Incarnation: 2})
 	count := func(now time.Duration) (n int) {
 		for range 1000 {
 			if pickAt(s, now) == fresh {
--- a/internal/pick/service.go
+++ b/internal/pick/service.go
@@ -63,10 +63,10 @@
 
 // Selection holds the inputs and buffers of one request's choices of a target. It is
 // reused for every choice of the request, by one goroutine at a time.
-type Ask struct {
+type Selection struct {
 	Draw
 	// Remaining is the time until the request's deadline; zero is unknown.
-	Left time.Duration
+	Remaining time.Duration
 	// Tried holds the targets at which the request was already attempted.
 	Tried []*Target
 	// candidates is kept here so that a choice doesn't allocate.
@@ -76,7 +76,7 @@
 // Choose chooses a target that wasn't tried, or nil. It prefers the own zone, then
 // the own region, as long as that costs no more than going further, including the
 // round trip. Unreachable targets are chosen only if there are no others.
-func (s *Service) Choose(a *Ask) *Target {
+func (s *Service) Choose(a *Selection) *Target {
 	if s.Policy == fleet.PolicyProbe {
 		s.shared.lastChosen.Store(int64(a.Now))
 	}
@@ -106,7 +106,7 @@
 
 // leavesRegion reports whether the request is sent to another region although the
 // own one has candidates. If so, the other regions' candidates have been collected.
-func (s *Service) leavesRegion(a *Ask, g *candidateSet) bool {
+func (s *Service) leavesRegion(a *Selection, g *candidateSet) bool {
 	if !s.shared.spill.due(a.Now) && s.shared.spill.share.Load() == 0 {
 		return false
 	}
@@ -137,5 +137,5 @@
 // Pick chooses a target that isn't in tried, or nil. It allocates a Selection, so it
 // is for callers that choose rarely.
 func (s *Service) Pick(now time.Duration, tried []*Target) *Target {
-	return s.Choose(&Ask{Draw: Draw{Now: now, Rand: SharedRand}, Tried: tried})
+	return s.Choose(&Selection{Draw: Draw{Now: now, Rand: SharedRand}, Tried: tried})
 }
--- a/internal/pick/sim_test.go
+++ b/internal/pick/sim_test.go
@@ -155,7 +155,7 @@
 func (s *sim) request(entry *Service) {
 	// Half of the service time is constant, as in the stand-in backend server.
 	draw := 0.5 + 0.5*s.demand.ExpFloat64()
-	t := entry.Choose(&Ask{Draw: Draw{s.now, s.rnd}})
+	t := entry.Choose(&Selection{Draw: Draw{s.now, s.rnd}})
 	if t == nil {
 		return
 	}
@@ -174,15 +174,15 @@
 	r := Report{Running: srv.running, Waiting: len(srv.queue), Slots: srv.slots, Service: srv.service}
 	s.after(back, func() {
 		r.At = s.now
-		t.Report(r)
+		t.RecordReport(r)
 	})
 }
 
-func (s *sim) arrive(t *Target, m Mark, back time.Duration, draw float64) {
+func (s *sim) arrive(t *Target, m Attempt, back time.Duration, draw float64) {
 	srv := s.servers[t.VM]
 	end := func(o Outcome) {
 		s.after(back, func() {
-			t.Headers(m, s.now, o, s.rnd)
+			t.RecordOutcome(m, s.now, o, s.rnd)
 			t.End()
 			s.took = append(s.took, s.now-m.start)
 		})
--- a/internal/pick/spill.go
+++ b/internal/pick/spill.go
@@ -29,13 +29,13 @@
 
 // leaves reports whether a request leaves the region, where home and far are the
 // shortest delays in nanoseconds, including the round trips.
-func (s *spill) leaves(a *Ask, home, far float64) bool {
+func (s *spill) leaves(a *Selection, home, far float64) bool {
 	s.step(a.Now, home, far)
 	share := s.share.Load()
 	if share == 0 {
 		return false
 	}
-	if a.Left > 0 && far > float64(a.Left) {
+	if a.Remaining > 0 && far > float64(a.Remaining) {
 		return false
 	}
 	return a.Rand.Int32N(spillUnit) < share
--- a/internal/pick/stat.go
+++ b/internal/pick/stat.go
@@ -47,7 +47,7 @@
 
 // UpdateIdentity stores an identity that the guard itself reported. A new incarnation
 // starts cold, so its share of requests is ramped up.
-func (s *Stat) Learn(id Identity) {
+func (s *Stat) UpdateIdentity(id Identity) {
 	for {
 		old := s.identity.Load()
 		if old != nil && old.Incarnation == id.Incarnation && old.Tick >= id.Tick {
@@ -90,11 +90,11 @@
 	Refused
 	// Superseded is an exchange canceled because a copy at another target answered
 	// first. Its time is a lower bound of the time that the target would have taken.
-	Outrun
+	Superseded
 )
 
 // Attempt is one request in flight at a target. It must be ended exactly once.
-type Mark struct {
+type Attempt struct {
 	start time.Duration
 	place int8
 }
@@ -102,7 +102,7 @@
 const untracked = -1
 
 // Elapsed returns the time since the request began.
-func (m Mark) Took(now time.Duration) time.Duration { return max(now-m.start, 0) }
+func (m Attempt) Elapsed(now time.Duration) time.Duration { return max(now-m.start, 0) }
 
 // lateFactor is the multiple of the typical time above which a late request counts
 // as a failure.
@@ -110,10 +110,10 @@
 
 // Begin counts a request as in flight. A request that streams a body isn't timed:
 // its duration depends on the caller and is no evidence about the target.
-func (t *Target) Begin(now time.Duration, timed bool) Mark {
+func (t *Target) Begin(now time.Duration, timed bool) Attempt {
 	s := t.Stat
 	s.InFlight.Add(1)
-	m := Mark{start: now, place: untracked}
+	m := Attempt{start: now, place: untracked}
 	if !timed {
 		return m
 	}
@@ -128,9 +128,9 @@
 
 // RecordOutcome records the outcome of a request when the first byte of the answer
 // arrives or the attempt fails.
-func (t *Target) Headers(m Mark, now time.Duration, o Outcome, rnd *rand.Rand) {
+func (t *Target) RecordOutcome(m Attempt, now time.Duration, o Outcome, rnd *rand.Rand) {
 	s := t.Stat
-	took := m.Took(now) - t.RTT()
+	took := m.Elapsed(now) - t.RTT()
 	if o == Late && int64(took) > lateFactor*t.shared.typical.Load() {
 		o = Failed
 	}
@@ -139,7 +139,7 @@
 		switch {
 		case o == Good, o == Failed, o == Late:
 			t.sample(now, took)
-		case o == Outrun && took > t.serverTime(now):
+		case o == Superseded && took > t.serverTime(now):
 			// A shorter time is no evidence: the request was canceled before the
 			// target could answer.
 			t.sample(now, took)
@@ -184,7 +184,7 @@
 }
 
 // RecordRTT records the round trip of an exchange.
-func (t *Target) MeasuredRTT(took time.Duration) {
+func (t *Target) RecordRTT(took time.Duration) {
 	if took <= 0 {
 		return
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -79,7 +79,7 @@
 // pace is the minimum pace of an answer that has begun. The whole transfer has no
 // time limit, since its duration depends on the size of the document and on the
 // link.
-var pace = progress.Pace{Stall: 2 * time.Second, Rate: 4 << 10}
+var pace = progress.Pace{StallTimeout: 2 * time.Second, BytesPerSecond: 4 << 10}
 
 // HTTP is a Client that accesses the platform over HTTP.
 type HTTP struct {
@@ -153,7 +153,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return Value{}, eris.Errorf("platform answered %s", resp.Status)
 	}
-	text, err := io.ReadAll(io.LimitReader(watchdog.Paced(resp.Body, pace), fleet.MaxDocument+1))
+	text, err := io.ReadAll(io.LimitReader(watchdog.PacedReader(resp.Body, pace), fleet.MaxDocument+1))
 	if err != nil {
 		return Value{}, eris.Wrap(err, "platform")
 	}
--- a/internal/progress/pace.go
+++ b/internal/progress/pace.go
@@ -10,21 +10,21 @@
 type Pace struct {
 	// StallTimeout is how long one piece may take, and how far the whole transfer may lag
 	// behind BytesPerSecond.
-	Stall time.Duration
+	StallTimeout time.Duration
 	// BytesPerSecond is the minimum rate.
-	Rate int64
+	BytesPerSecond int64
 }
 
 // NextTimeout returns how long the next piece may take after the given number of bytes was
 // received in the given time. It returns 0 if the transfer is too slow.
-func (p Pace) Next(bytes int64, took time.Duration) time.Duration {
-	earned := time.Duration(bytes) * time.Second / time.Duration(p.Rate)
-	return max(0, min(p.Stall, p.Stall+earned-took))
+func (p Pace) NextTimeout(bytes int64, took time.Duration) time.Duration {
+	earned := time.Duration(bytes) * time.Second / time.Duration(p.BytesPerSecond)
+	return max(0, min(p.StallTimeout, p.StallTimeout+earned-took))
 }
 
 // PacedReader returns a reader of r that feeds the Watchdog as long as r keeps the pace.
-func (w *Watchdog) Paced(r io.Reader, p Pace) io.Reader {
-	w.Feed(p.Stall)
+func (w *Watchdog) PacedReader(r io.Reader, p Pace) io.Reader {
+	w.Feed(p.StallTimeout)
 	return &pacedReader{source: r, watchdog: w, pace: p, start: time.Now()}
 }
 
@@ -41,7 +41,7 @@
 	n, err := r.source.Read(b)
 	if n > 0 {
 		r.read += int64(n)
-		r.watchdog.Feed(r.pace.Next(r.read, time.Since(r.start)))
+		r.watchdog.Feed(r.pace.NextTimeout(r.read, time.Since(r.start)))
 	}
 	return n, err
 }
--- a/internal/progress/pace_test.go
+++ b/internal/progress/pace_test.go
@@ -16,23 +16,23 @@
 // to time.
 func TestTransferBelowThePaceStalls(t *testing.T) {
 	const pieceCount = 100
-	pace := progress.Pace{Stall: time.Second, Rate: 2}
+	pace := progress.Pace{StallTimeout: time.Second, BytesPerSecond: 2}
 	for _, c := range []struct {
 		name     string
 		pause    time.Duration
 		complete bool
 	}{
-		{"faster than the rate", pace.Stall / 10, true},
-		{"at the rate", pace.Stall / 2, true},
-		{"slower than the rate", pace.Stall - time.Millisecond, false},
-		{"no progress", pace.Stall + time.Millisecond, false},
+		{"faster than the rate", pace.StallTimeout / 10, true},
+		{"at the rate", pace.StallTimeout / 2, true},
+		{"slower than the rate", pace.StallTimeout - time.Millisecond, false},
+		{"no progress", pace.StallTimeout + time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, w := progress.Watch(t.Context(), pace.Stall)
+				ctx, w := progress.Watch(t.Context(), pace.StallTimeout)
 				defer w.Stop()
 				source := &pieces{ctx, slices.Repeat([]time.Duration{c.pause}, pieceCount)}
-				text, err := io.ReadAll(w.Paced(source, pace))
+				text, err := io.ReadAll(w.PacedReader(source, pace))
 				require.ErrorIs(t, err, progress.ErrStalled)
 				require.Equal(t, c.complete, len(text) == pieceCount)
 			})
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -32,7 +32,7 @@
 // The levels.
 const (
 	// Unsuspected requests run without restrictions.
-	Innocent Level = iota
+	Unsuspected Level = iota
 	// Suspected requests run alone on their target.
 	Suspected
 	// Blocked requests are refused without a run.
@@ -64,7 +64,7 @@
 func NewTable() *Table { return &Table{rows: map[uint64]*row{}} }
 
 // RecordDeath records that a request was in flight when a backend server died.
-func (t *Table) Died(fingerprint uint64, d Death, now time.Duration) {
+func (t *Table) RecordDeath(fingerprint uint64, d Death, now time.Duration) {
 	r := t.row(fingerprint, now)
 	if r.add(d) {
 		r.until = now + BlockFor
@@ -149,7 +149,7 @@
 	case open > 0:
 		return Suspected
 	}
-	return Innocent
+	return Unsuspected
 }
 
 // Expire deletes expired rows.
@@ -190,7 +190,7 @@
 
 // NextBatch returns up to limit rows to send to a peer. Successive calls cycle
 // through all rows.
-func (t *Table) News(limit int, now time.Duration) []wire.Suspect {
+func (t *Table) NextBatch(limit int, now time.Duration) []wire.Suspect {
 	if len(t.rows) == 0 {
 		return nil
 	}
@@ -238,7 +238,7 @@
 	t.dirty = false
 	set := Set{}
 	for f, r := range t.rows {
-		if l := r.level(); l != Innocent {
+		if l := r.level(); l != Unsuspected {
 			set[f] = Entry{Level: l, Until: r.until}
 		}
 	}
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -13,7 +13,7 @@
 
 func level(t *suspect.Table, f uint64) suspect.Level {
 	// Changed returns a Set only after a change; an unrelated row causes one.
-	t.Died(1<<63, suspect.Death{ID: uint64(time.Now().UnixNano())}, 0)
+	t.RecordDeath(1<<63, suspect.Death{ID: uint64(time.Now().UnixNano())}, 0)
 	set, _ := t.Changed()
 	return set[f].Level
 }
@@ -24,24 +24,24 @@
 func TestCrashingRequestIsBlockedAndOtherRequestIsCleared(t *testing.T) {
 	table := suspect.NewTable()
 	const crashing, unrelated = 1, 2
-	table.Died(crashing, suspect.Death{ID: 10}, 0)
-	table.Died(unrelated, suspect.Death{ID: 10}, 0)
+	table.RecordDeath(crashing, suspect.Death{ID: 10}, 0)
+	table.RecordDeath(unrelated, suspect.Death{ID: 10}, 0)
 	require.Equal(t, suspect.Suspected, level(table, crashing))
 	require.Equal(t, suspect.Suspected, level(table, unrelated))
 	table.Clear(unrelated)
-	table.Died(crashing, suspect.Death{ID: 11, Alone: true}, 0)
+	table.RecordDeath(crashing, suspect.Death{ID: 11, Alone: true}, 0)
 	require.Equal(t, suspect.Blocked, level(table, crashing))
-	require.Equal(t, suspect.Innocent, level(table, unrelated))
+	require.Equal(t, suspect.Unsuspected, level(table, unrelated))
 	table.Expire(suspect.BlockFor)
-	require.Equal(t, suspect.Innocent, level(table, crashing))
+	require.Equal(t, suspect.Unsuspected, level(table, crashing))
 }
 
 // Two backend servers are killed by hand at the same moment with the same
 // popular read in flight on both. It never ran alone, so it must not be blocked.
 func TestTwoDeathsWithOtherRequestsInFlightDoNotBlock(t *testing.T) {
 	table := suspect.NewTable()
-	table.Died(1, suspect.Death{ID: 10}, 0)
-	table.Died(1, suspect.Death{ID: 11}, 0)
+	table.RecordDeath(1, suspect.Death{ID: 10}, 0)
+	table.RecordDeath(1, suspect.Death{ID: 11}, 0)
 	require.Equal(t, suspect.Suspected, level(table, 1))
 }
 
@@ -49,26 +49,26 @@
 // request must not become a suspect again.
 func TestLateReportOfClearedDeathIsIgnored(t *testing.T) {
 	a, b := suspect.NewTable(), suspect.NewTable()
-	a.Died(1, suspect.Death{ID: 10}, 0)
-	late := a.News(1, 0)[0]
+	a.RecordDeath(1, suspect.Death{ID: 10}, 0)
+	late := a.NextBatch(1, 0)[0]
 	b.Merge(late, 0)
 	b.Clear(1)
 	b.Merge(late, time.Second)
-	require.Equal(t, suspect.Innocent, level(b, 1))
-	b.Died(1, suspect.Death{ID: 12}, time.Second)
+	require.Equal(t, suspect.Unsuspected, level(b, 1))
+	b.RecordDeath(1, suspect.Death{ID: 12}, time.Second)
 	require.Equal(t, suspect.Suspected, level(b, 1))
 }
 
 // A row that is gossiped between nodes must expire, whichever node sends it last.
 func TestGossipDoesNotKeepRowsAlive(t *testing.T) {
 	a, b := suspect.NewTable(), suspect.NewTable()
-	a.Died(1, suspect.Death{ID: 10}, 0)
+	a.RecordDeath(1, suspect.Death{ID: 10}, 0)
 	now := time.Duration(0)
 	const delay = 10 * time.Millisecond
 	for now < 2*suspect.BlockFor {
 		for _, pair := range [][2]*suspect.Table{{a, b}, {b, a}} {
 			pair[0].Expire(now)
-			batch := pair[0].News(1, now)
+			batch := pair[0].NextBatch(1, now)
 			now += delay
 			for _, n := range batch {
 				pair[1].Merge(n, now)
@@ -95,10 +95,10 @@
 				continue
 			}
 			id := rapid.Uint64Range(1, 4).Draw(t, "death")
-			table.Died(1, suspect.Death{ID: id, Alone: rapid.Bool().Draw(t, "alone")}, 0)
+			table.RecordDeath(1, suspect.Death{ID: id, Alone: rapid.Bool().Draw(t, "alone")}, 0)
 		}
 		merge := func(to, from *suspect.Table) {
-			for _, n := range from.News(10, 0) {
+			for _, n := range from.NextBatch(10, 0) {
 				to.Merge(n, 0)
 			}
 		}
@@ -113,7 +113,7 @@
 func TestTableIsBounded(t *testing.T) {
 	table := suspect.NewTable()
 	for f := range uint64(10_000) {
-		table.Died(f, suspect.Death{ID: f}, time.Duration(f))
+		table.RecordDeath(f, suspect.Death{ID: f}, time.Duration(f))
 	}
 	require.LessOrEqual(t, len(table.Dump(0)), 256)
 }
--- a/internal/wire/keys.go
+++ b/internal/wire/keys.go
@@ -40,12 +40,12 @@
 }
 
 // KeysAck is the storing peer's reply to a KeysPart.
-type KeysKept struct {
+type KeysAck struct {
 	OK bool `msgpack:"o"`
 }
 
 // KeysRequest requests one part of the key table of the VM's previous process.
-type KeysAsk struct {
+type KeysRequest struct {
 	Format      uint8  `msgpack:"f"`
 	VM          string `msgpack:"v"`
 	Incarnation uint64 `msgpack:"i"`
@@ -66,9 +66,9 @@
 	LifetimeMs  int64  `msgpack:"l"`
 	// HistoryMs is the age from which the records are complete. It is negative in a
 	// process that started recently.
-	ReachMs int64       `msgpack:"m"`
-	Targets []string    `msgpack:"t"`
-	Past    []KeysEpoch `msgpack:"p,omitempty"`
+	HistoryMs int64       `msgpack:"m"`
+	Targets   []string    `msgpack:"t"`
+	Past      []KeysEpoch `msgpack:"p,omitempty"`
 	// Records is the number of records in all chunks.
 	Records int `msgpack:"n"`
 }
@@ -125,7 +125,7 @@
 func (*KeysPart) Type() Type { return TypeKeysPart }
 
 // Type returns the message type.
-func (*KeysKept) Type() Type { return TypeKeysKept }
+func (*KeysAck) Type() Type { return TypeKeysAck }
 
 // Type returns the message type.
-func (*KeysAsk) Type() Type { return TypeKeysAsk }
+func (*KeysRequest) Type() Type { return TypeKeysRequest }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -32,8 +32,8 @@
 	TypeKeysOffer
 	TypeKeysGrant
 	TypeKeysPart
-	TypeKeysKept
-	TypeKeysAsk
+	TypeKeysAck
+	TypeKeysRequest
 )
 
 const (
@@ -183,7 +183,7 @@
 	// AttemptLost ran or may have run, but its answer is not available.
 	AttemptLost
 	// AttemptOtherIncarnation belongs to an incarnation other than the answering one.
-	AttemptElsewhere
+	AttemptOtherIncarnation
 	// AttemptWaiting has arrived at the guard but is not recorded yet; it can still
 	// be sealed.
 	AttemptWaiting
@@ -266,10 +266,10 @@
 		return &KeysGrant{}, smallFrame
 	case TypeKeysPart:
 		return &KeysPart{}, documentFrame
-	case TypeKeysKept:
-		return &KeysKept{}, smallFrame
-	case TypeKeysAsk:
-		return &KeysAsk{}, smallFrame
+	case TypeKeysAck:
+		return &KeysAck{}, smallFrame
+	case TypeKeysRequest:
+		return &KeysRequest{}, smallFrame
 	}
 	return nil, 0
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -23,8 +23,8 @@
 		&wire.KeysOffer{Format: wire.KeysFormat, VM: "vm1", Incarnation: 1 << 60, Bytes: 9, HoldMs: 1000},
 		&wire.KeysGrant{Token: 1 << 60},
 		&wire.KeysPart{Token: 1 << 60, Parts: 1, Data: []byte("chunk")},
-		&wire.KeysKept{OK: true},
-		&wire.KeysAsk{Format: wire.KeysFormat, VM: "vm1", Incarnation: 1 << 60, Seq: 3},
+		&wire.KeysAck{OK: true},
+		&wire.KeysRequest{Format: wire.KeysFormat, VM: "vm1", Incarnation: 1 << 60, Seq: 3},
 		&wire.FetchVMs{},
 		&wire.VMs{Version: 4, Rows: []wire.VM{{Name: "vm1", IP: "10.0.0.1", Leaving: true}}},
 	}
--- a/standin/chaos/breaker.go
+++ b/standin/chaos/breaker.go
@@ -114,17 +114,17 @@
 // removeAll removes link faults and resumes paused processes, in case the
 // removal of a fault failed.
 func (inj *injector) removeAll(ctx context.Context) error {
-	if err := inj.d.SetLinks(ctx); err != nil {
+	if err := inj.d.SetLinkFaults(ctx); err != nil {
 		return err
 	}
-	for _, p := range inj.d.Places {
-		_ = inj.d.Node(p.VM).Thaw()
-		_ = inj.d.Backend(p.VM).Thaw()
+	for _, p := range inj.d.VMs {
+		_ = inj.d.Node(p.Name).Resume()
+		_ = inj.d.Backend(p.Name).Resume()
 	}
 	return nil
 }
 
-func (inj *injector) randomVM() deploy.Place { return inj.d.Places[inj.rnd.IntN(len(inj.d.Places))] }
+func (inj *injector) randomVM() deploy.VM { return inj.d.VMs[inj.rnd.IntN(len(inj.d.VMs))] }
 
 func (inj *injector) randomZone() string {
 	zones := inj.d.Fleet().Zones
@@ -135,36 +135,36 @@
 
 func killNode(_ context.Context, inj *injector) (func(context.Context) error, error) {
 	p := inj.randomVM()
-	inj.log("kill node %s", p.VM)
-	return noUndo, inj.d.Node(p.VM).Kill()
+	inj.log("kill node %s", p.Name)
+	return noUndo, inj.d.Node(p.Name).Kill()
 }
 
 func killBackend(_ context.Context, inj *injector) (func(context.Context) error, error) {
 	p := inj.randomVM()
-	inj.log("kill backend server %s", p.VM)
-	return noUndo, inj.d.Backend(p.VM).Kill()
+	inj.log("kill backend server %s", p.Name)
+	return noUndo, inj.d.Backend(p.Name).Kill()
 }
 
 func freeze(inj *injector, what string, p *deploy.Process) (func(context.Context) error, error) {
 	inj.log("freeze %s", what)
-	return func(context.Context) error { return p.Thaw() }, p.Freeze()
+	return func(context.Context) error { return p.Resume() }, p.Pause()
 }
 
 func freezeNode(_ context.Context, inj *injector) (func(context.Context) error, error) {
-	vm := inj.randomVM().VM
+	vm := inj.randomVM().Name
 	return freeze(inj, "node "+vm, inj.d.Node(vm))
 }
 
 func freezeBackend(_ context.Context, inj *injector) (func(context.Context) error, error) {
-	vm := inj.randomVM().VM
+	vm := inj.randomVM().Name
 	return freeze(inj, "backend server "+vm, inj.d.Backend(vm))
 }
 
 func setLinkFault(ctx context.Context, inj *injector, f deploy.LinkFault) (func(context.Context) error, error) {
 	f.From, f.To = inj.randomZone(), inj.randomZone()
 	inj.log("link fault %+v", f)
-	undo := func(ctx context.Context) error { return inj.d.SetLinks(ctx) }
-	return undo, inj.d.SetLinks(ctx, f)
+	undo := func(ctx context.Context) error { return inj.d.SetLinkFaults(ctx) }
+	return undo, inj.d.SetLinkFaults(ctx, f)
 }
 
 func cut(ctx context.Context, inj *injector) (func(context.Context) error, error) {
@@ -180,7 +180,7 @@
 }
 
 func drain(ctx context.Context, inj *injector) (func(context.Context) error, error) {
-	vm := inj.randomVM().VM
+	vm := inj.randomVM().Name
 	inj.log("drain %s", vm)
 	undo := func(ctx context.Context) error {
 		return inj.d.SetBackend(ctx, vm, map[string]any{"state": "live"})
@@ -189,7 +189,7 @@
 }
 
 func vmLeaving(ctx context.Context, inj *injector) (func(context.Context) error, error) {
-	vm := inj.randomVM().VM
+	vm := inj.randomVM().Name
 	inj.log("VM %s is listed as leaving", vm)
 	undo := func(ctx context.Context) error { return inj.d.SetVM(ctx, vm, "live") }
 	return undo, inj.d.SetVM(ctx, vm, "leaving")
@@ -198,6 +198,6 @@
 func platformDown(ctx context.Context, inj *injector) (func(context.Context) error, error) {
 	zone := inj.randomZone()
 	inj.log("platform down for %s", zone)
-	undo := func(ctx context.Context) error { return inj.d.SetPlatform(ctx, zone, deploy.PlatformFault{}) }
-	return undo, inj.d.SetPlatform(ctx, zone, deploy.PlatformFault{Down: true})
+	undo := func(ctx context.Context) error { return inj.d.SetPlatformFault(ctx, zone, deploy.PlatformFault{}) }
+	return undo, inj.d.SetPlatformFault(ctx, zone, deploy.PlatformFault{Down: true})
 }
--- a/standin/chaos/caller.go
+++ b/standin/chaos/caller.go
@@ -103,7 +103,7 @@
 	}
 }
 
-func (c *caller) randomVM() deploy.Place { return c.d.Places[c.rnd.IntN(len(c.d.Places))] }
+func (c *caller) randomVM() deploy.VM { return c.d.VMs[c.rnd.IntN(len(c.d.VMs))] }
 
 func (c *caller) key(ctx context.Context, s Style, to endpoint, id string) string {
 	switch s {
@@ -135,7 +135,7 @@
 	return ""
 }
 
-func (c *caller) request(ctx context.Context, p deploy.Place, to endpoint, body []byte) *http.Request {
+func (c *caller) request(ctx context.Context, p deploy.VM, to endpoint, body []byte) *http.Request {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Callers()+to.path, bytes.NewReader(body))
 	if err != nil {
 		panic(err) // Can't happen: the deployment's addresses are valid.
@@ -146,7 +146,7 @@
 }
 
 // send sends the request once and returns the reply.
-func (c *caller) send(ctx context.Context, id string, p deploy.Place, to endpoint, key string, body []byte) reply {
+func (c *caller) send(ctx context.Context, id string, p deploy.VM, to endpoint, key string, body []byte) reply {
 	req := c.request(ctx, p, to, body)
 	req.Header.Set(headers.RequestID, id)
 	if key != "" {
--- a/standin/chaos/chaos.go
+++ b/standin/chaos/chaos.go
@@ -22,7 +22,7 @@
 	// Callers is the number of concurrent callers.
 	Callers int
 	// Interval is the minimum time between the starts of a caller's requests.
-	Pace time.Duration
+	Interval time.Duration
 	// Seed determines all random choices, but not the interleaving of processes.
 	Seed uint64
 	// Faults are the kinds of fault to draw from; empty means all of them.
@@ -144,7 +144,7 @@
 			c := newCaller(d, rand.New(rand.NewPCG(opts.Seed, uint64(i)+1)))
 			defer c.close()
 			for n := i; n < opts.Requests && ctx.Err() == nil; n += opts.Callers {
-				next := time.Now().Add(opts.Pace)
+				next := time.Now().Add(opts.Interval)
 				perCaller[i] = append(perCaller[i], c.sendRequest(ctx))
 				wait(ctx, time.Until(next))
 			}
@@ -156,7 +156,7 @@
 
 // evaluate compares the outcomes reported to callers with the ledgers.
 func evaluate(d *deploy.Deployment, opts Options, results []result, inj *injector) (*Report, error) {
-	starts, err := d.Starts()
+	starts, err := d.StartCounts()
 	if err != nil {
 		return nil, err
 	}
--- a/standin/demo/check.go
+++ b/standin/demo/check.go
@@ -100,7 +100,7 @@
 
 func sendOne(d *deploy.Deployment, calls []call, client *http.Client, rnd *rand.Rand, t *tally) {
 	c := calls[rnd.IntN(len(calls))]
-	p := d.Places[rnd.IntN(len(d.Places))]
+	p := d.VMs[rnd.IntN(len(d.VMs))]
 	body := make([]byte, c.body)
 	for i := range body {
 		body[i] = byte(rnd.Uint32())
@@ -115,18 +115,18 @@
 	req.Header.Set("X-Request-Id", id)
 	resp, err := client.Do(req)
 	if err != nil {
-		t.wrongf("%s %s at %s: %v", c.service, c.path, p.VM, err)
+		t.wrongf("%s %s at %s: %v", c.service, c.path, p.Name, err)
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	got, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.wrongf("%s %s at %s: answer cut: %v", c.service, c.path, p.VM, err)
+		t.wrongf("%s %s at %s: answer cut: %v", c.service, c.path, p.Name, err)
 		return
 	}
 	if k := resp.Header.Get("Limpetdock-Kind"); k != "" {
 		t.count(c, k)
-		t.wrongf("%s %s at %s: %s", c.service, c.path, p.VM, got)
+		t.wrongf("%s %s at %s: %s", c.service, c.path, p.Name, got)
 		return
 	}
 	t.count(c, resp.Status)
@@ -136,15 +136,15 @@
 		t.mu.Unlock()
 	}
 	if resp.Header.Get("X-Request-Id") != id || c.body > 0 && !bytes.Equal(got, body) {
-		t.wrongf("%s %s at %s: not the answer to this request", c.service, c.path, p.VM)
+		t.wrongf("%s %s at %s: not the answer to this request", c.service, c.path, p.Name)
 	}
 }
 
 // checkLedgers reports answered at-most-once requests that didn't run exactly once.
 func checkLedgers(d *deploy.Deployment, t *tally) {
 	starts := map[string]int{}
-	for _, p := range d.Places {
-		text, err := os.ReadFile(d.Ledger(p.VM))
+	for _, p := range d.VMs {
+		text, err := os.ReadFile(d.Ledger(p.Name))
 		if err != nil {
 			t.wrongf("%v", err)
 			continue
--- a/standin/deploy/deploy.go
+++ b/standin/deploy/deploy.go
@@ -41,7 +41,7 @@
 // Deployment is a running deployment. Its methods are safe for concurrent use
 // once Start has returned.
 type Deployment struct {
-	Places   []Place
+	VMs      []VM
 	opts     Options
 	net      network
 	mu       sync.Mutex
@@ -71,7 +71,7 @@
 		nodes: map[string]*Process{}, backends: map[string]*Process{}, relays: map[string]*Process{},
 		vmStates: map[string]string{},
 	}
-	d.Places, d.zones = plan(d.net, d.fleet)
+	d.VMs, d.zones = plan(d.net, d.fleet)
 	return d, nil
 }
 
@@ -123,7 +123,7 @@
 	if err := d.Publish(ctx, d.fleet); err != nil {
 		return err
 	}
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		if err := d.startVM(p); err != nil {
 			return err
 		}
@@ -135,7 +135,7 @@
 func (d *Deployment) startRelays() error {
 	for _, z := range d.fleet.Zones {
 		file := filepath.Join(d.opts.Out, "settings", "relay-"+z.Name+".json")
-		text, err := json.Marshal(routes(d.fleet, d.Places, d.zones, z.Name))
+		text, err := json.Marshal(routes(d.fleet, d.VMs, d.zones, z.Name))
 		if err != nil {
 			return err
 		}
@@ -152,35 +152,35 @@
 	return nil
 }
 
-func (d *Deployment) startVM(p Place) error {
-	backend, err := d.spawn(p.VM+"-backend", "standin-backend", "--listen", p.Backend(), "--name", p.VM,
+func (d *Deployment) startVM(p VM) error {
+	backend, err := d.spawn(p.Name+"-backend", "standin-backend", "--listen", p.Backend(), "--name", p.Name,
 		"--slots", strconv.Itoa(p.Slots), "--service-ms", fmt.Sprint(d.opts.ServiceMs),
-		"--ledger", d.Ledger(p.VM), "--entry", p.Callers())
+		"--ledger", d.Ledger(p.Name), "--entry", p.Callers())
 	if err != nil {
 		return err
 	}
-	file := filepath.Join(d.opts.Out, "settings", p.VM+".ini")
+	file := filepath.Join(d.opts.Out, "settings", p.Name+".ini")
 	if err := os.WriteFile(file, []byte(settings(d.fleet, p, d.seeds(p))), 0o644); err != nil {
 		return err
 	}
-	node, err := d.spawn(p.VM, nodeProgram, "--settings", file)
+	node, err := d.spawn(p.Name, nodeProgram, "--settings", file)
 	if err != nil {
 		return err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.backends[p.VM], d.nodes[p.VM] = backend, node
+	d.backends[p.Name], d.nodes[p.Name] = backend, node
 	return nil
 }
 
 // seeds returns control addresses of a few other VMs, for use when the VM list
 // is unavailable.
-func (d *Deployment) seeds(self Place) string {
+func (d *Deployment) seeds(self VM) string {
 	const count, step = 3, 7
 	var list []string
-	for i := range d.Places {
-		p := d.Places[(i*step+self.index*5)%len(d.Places)]
-		if p.VM != self.VM && len(list) < count {
+	for i := range d.VMs {
+		p := d.VMs[(i*step+self.index*5)%len(d.VMs)]
+		if p.Name != self.Name && len(list) < count {
 			list = append(list, fmt.Sprintf("%s:%d", p.addressFrom(self.zoneNo), d.fleet.Ports.Control))
 		}
 	}
@@ -192,14 +192,14 @@
 func (d *Deployment) writeTable() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.nodes) < len(d.Places) {
+	if len(d.nodes) < len(d.VMs) {
 		return
 	}
 	var b strings.Builder
 	b.WriteString("vm\tservice\tregion\tzone\tcaller address\tadmin address\tnode pid\tbackend pid\n")
-	for _, p := range d.Places {
-		fmt.Fprintf(&b, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", p.VM, p.Service, p.Region, p.Zone,
-			p.Callers(), p.Admin(), d.nodes[p.VM].Pid(), d.backends[p.VM].Pid())
+	for _, p := range d.VMs {
+		fmt.Fprintf(&b, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\n", p.Name, p.Service, p.Region, p.Zone,
+			p.Callers(), p.Admin(), d.nodes[p.Name].Pid(), d.backends[p.Name].Pid())
 	}
 	file := filepath.Join(d.opts.Out, "nodes.tsv")
 	if os.WriteFile(file+".new", []byte(b.String()), 0o644) == nil {
@@ -213,11 +213,11 @@
 // WaitReady waits until every node answers a request to each service.
 func (d *Deployment) WaitReady(ctx context.Context) error {
 	end := time.Now().Add(readyLimit)
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		for _, s := range d.fleet.Services {
 			for !answersRequest(ctx, p, s.Name) {
 				if time.Now().After(end) || ctx.Err() != nil {
-					return errors.New(p.VM + " doesn't answer for " + s.Name)
+					return errors.New(p.Name + " doesn't answer for " + s.Name)
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -226,7 +226,7 @@
 	return nil
 }
 
-func answersRequest(ctx context.Context, p Place, service string) bool {
+func answersRequest(ctx context.Context, p VM, service string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Callers()+"/ready", nil)
 	if err != nil {
 		return false
--- a/standin/deploy/faults.go
+++ b/standin/deploy/faults.go
@@ -41,12 +41,12 @@
 
 // SetLinkFaults replaces the faults of all links. Without arguments it removes
 // all faults.
-func (d *Deployment) SetLinks(ctx context.Context, faults ...LinkFault) error {
+func (d *Deployment) SetLinkFaults(ctx context.Context, faults ...LinkFault) error {
 	if faults == nil {
 		faults = []LinkFault{}
 	}
 	for _, no := range d.zones {
-		if err := SetRelay(ctx, d.net.relayAdmin(no), faults); err != nil {
+		if err := SetRelayFaults(ctx, d.net.relayAdmin(no), faults); err != nil {
 			return err
 		}
 	}
@@ -55,18 +55,18 @@
 
 // SetRelayFaults replaces the faults of the links of one relay. It retries while
 // the relay starts.
-func SetRelay(ctx context.Context, admin string, faults []LinkFault) error {
+func SetRelayFaults(ctx context.Context, admin string, faults []LinkFault) error {
 	return put(ctx, "http://"+admin+"/faults", faults)
 }
 
 // SetPlatformFault sets the fault of the platform for one zone.
-func (d *Deployment) SetPlatform(ctx context.Context, zone string, f PlatformFault) error {
+func (d *Deployment) SetPlatformFault(ctx context.Context, zone string, f PlatformFault) error {
 	return put(ctx, d.platformURL("/admin/faults/"+zone), f)
 }
 
 // HeldTargets returns the guard or control addresses of the connections on which
 // the relay of a zone currently holds bytes, in either direction.
-func (d *Deployment) Held(ctx context.Context, zone string) ([]string, error) {
+func (d *Deployment) HeldTargets(ctx context.Context, zone string) ([]string, error) {
 	var held []string
 	err := Get(ctx, "http://"+d.net.relayAdmin(d.zones[zone])+"/held", &held)
 	return held, err
@@ -74,8 +74,8 @@
 
 // Release resumes the given requests held by a VM's backend server stand-in.
 func (d *Deployment) Release(ctx context.Context, vm string, ids ...string) error {
-	for _, p := range d.Places {
-		if p.VM == vm {
+	for _, p := range d.VMs {
+		if p.Name == vm {
 			return put(ctx, "http://"+p.Backend()+"/-/release", ids)
 		}
 	}
@@ -134,8 +134,8 @@
 // SetBackend changes the behaviour of a VM's backend server stand-in. The keys
 // are the JSON fields of behaviour in standin/backend; other fields are kept.
 func (d *Deployment) SetBackend(ctx context.Context, vm string, behaviour map[string]any) error {
-	for _, p := range d.Places {
-		if p.VM == vm {
+	for _, p := range d.VMs {
+		if p.Name == vm {
 			return put(ctx, "http://"+p.Backend()+"/-/set", behaviour)
 		}
 	}
@@ -186,8 +186,8 @@
 	defer d.publishing.Unlock()
 	d.mu.Lock()
 	rows := []row{}
-	for _, p := range d.Places {
-		state, set := d.vmStates[p.VM]
+	for _, p := range d.VMs {
+		state, set := d.vmStates[p.Name]
 		if !set {
 			state = "live"
 		}
@@ -198,7 +198,7 @@
 		for zone, no := range d.zones {
 			seen[zone] = p.addressFrom(no)
 		}
-		rows = append(rows, row{p.VM, p.IP(), state, seen})
+		rows = append(rows, row{p.Name, p.IP(), state, seen})
 	}
 	d.mu.Unlock()
 	return put(ctx, d.platformURL("/admin/vms"), rows)
--- a/standin/deploy/ledger.go
+++ b/standin/deploy/ledger.go
@@ -7,7 +7,7 @@
 )
 
 // LedgerEntry is one line of a backend server stand-in's ledger.
-type Run struct {
+type LedgerEntry struct {
 	Event   string `json:"event"`
 	ID      string `json:"id"`
 	Method  string `json:"method"`
@@ -17,7 +17,7 @@
 
 // LedgerEntries reads the ledger of a VM. It skips lines that can't be parsed,
 // such as a last line that is only partly written.
-func (d *Deployment) Runs(vm string) ([]Run, error) {
+func (d *Deployment) LedgerEntries(vm string) ([]LedgerEntry, error) {
 	text, err := os.ReadFile(d.Ledger(vm))
 	if os.IsNotExist(err) {
 		return nil, nil
@@ -25,9 +25,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var runs []Run
+	var runs []LedgerEntry
 	for line := range bytes.Lines(text) {
-		var r Run
+		var r LedgerEntry
 		if json.Unmarshal(line, &r) == nil {
 			runs = append(runs, r)
 		}
@@ -36,10 +36,10 @@
 }
 
 // StartCounts returns how often each request id was started, over all ledgers.
-func (d *Deployment) Starts() (map[string]int, error) {
+func (d *Deployment) StartCounts() (map[string]int, error) {
 	starts := map[string]int{}
-	for _, p := range d.Places {
-		runs, err := d.Runs(p.VM)
+	for _, p := range d.VMs {
+		runs, err := d.LedgerEntries(p.Name)
 		if err != nil {
 			return nil, err
 		}
--- a/standin/deploy/plan.go
+++ b/standin/deploy/plan.go
@@ -29,15 +29,15 @@
 }
 
 // VM is one VM of a deployment.
-type Place struct {
-	VM, Service, Region, Zone string
-	Slots                     int
-	net                       network
-	zoneNo, index             int
+type VM struct {
+	Name, Service, Region, Zone string
+	Slots                       int
+	net                         network
+	zoneNo, index               int
 }
 
 // IP returns the VM's own address.
-func (p Place) IP() string { return fmt.Sprintf("127.%d.%d.%d", p.net, p.zoneNo, p.index) }
+func (p VM) IP() string { return fmt.Sprintf("127.%d.%d.%d", p.net, p.zoneNo, p.index) }
 
 const (
 	firstRelayNet = 100
@@ -46,7 +46,7 @@
 
 // addressFrom returns the address under which a zone reaches the VM: the VM's
 // own address within its zone, otherwise that of the zone's relay.
-func (p Place) addressFrom(zoneNo int) string {
+func (p VM) addressFrom(zoneNo int) string {
 	if zoneNo == p.zoneNo {
 		return p.IP()
 	}
@@ -55,29 +55,29 @@
 }
 
 // Callers returns the address on which the node accepts callers' requests.
-func (p Place) Callers() string { return fmt.Sprintf("%s:%d", p.IP(), callersPort) }
+func (p VM) Callers() string { return fmt.Sprintf("%s:%d", p.IP(), callersPort) }
 
 // Admin returns the address of the node's administration API.
-func (p Place) Admin() string { return fmt.Sprintf("%s:%d", p.IP(), adminPort) }
+func (p VM) Admin() string { return fmt.Sprintf("%s:%d", p.IP(), adminPort) }
 
 // Backend returns the address of the backend server stand-in.
-func (p Place) Backend() string { return fmt.Sprintf("%s:%d", p.IP(), backendPort) }
+func (p VM) Backend() string { return fmt.Sprintf("%s:%d", p.IP(), backendPort) }
 
 // plan returns the VMs of a fleet and the numbers of its zones, from 1.
-func plan(n network, f fleet.Fleet) ([]Place, map[string]int) {
+func plan(n network, f fleet.Fleet) ([]VM, map[string]int) {
 	zones := map[string]int{}
 	regions := map[string]string{}
 	for i, z := range f.Zones {
 		zones[z.Name] = i + 1
 		regions[z.Name] = z.Region
 	}
-	var vms []Place
+	var vms []VM
 	inZone := map[string]int{}
 	for _, s := range f.Services {
 		for _, t := range s.Targets {
 			inZone[t.Zone]++
-			vms = append(vms, Place{
-				VM: t.VM, Service: s.Name, Region: regions[t.Zone], Zone: t.Zone, Slots: t.Slots,
+			vms = append(vms, VM{
+				Name: t.VM, Service: s.Name, Region: regions[t.Zone], Zone: t.Zone, Slots: t.Slots,
 				net: n, zoneNo: zones[t.Zone], index: inZone[t.Zone],
 			})
 		}
@@ -95,7 +95,7 @@
 }
 
 // routes returns the routes of one zone's relay.
-func routes(f fleet.Fleet, vms []Place, zones map[string]int, from string) []RelayRoute {
+func routes(f fleet.Fleet, vms []VM, zones map[string]int, from string) []RelayRoute {
 	region := map[string]string{}
 	for _, z := range f.Zones {
 		region[z.Name] = z.Region
@@ -143,7 +143,7 @@
 limit = 60s
 `
 
-func settings(f fleet.Fleet, p Place, seeds string) string {
-	return fmt.Sprintf(settingsText, p.VM, f.Name, p.Region, p.Zone, p.Callers(),
+func settings(f fleet.Fleet, p VM, seeds string) string {
+	return fmt.Sprintf(settingsText, p.Name, f.Name, p.Region, p.Zone, p.Callers(),
 		p.IP(), f.Ports.Guard, p.IP(), f.Ports.Control, p.Admin(), p.Backend(), p.net.platform(), p.Zone, seeds)
 }
--- a/standin/deploy/process.go
+++ b/standin/deploy/process.go
@@ -106,10 +106,10 @@
 func (p *Process) Kill() error { return p.Signal(syscall.SIGKILL) }
 
 // Pause suspends the process until Resume, like the pause of a VM.
-func (p *Process) Freeze() error { return p.Signal(syscall.SIGSTOP) }
+func (p *Process) Pause() error { return p.Signal(syscall.SIGSTOP) }
 
 // Resume continues a paused process.
-func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
+func (p *Process) Resume() error { return p.Signal(syscall.SIGCONT) }
 
 // End sends a signal that stops the process and disables its restart.
 func (p *Process) End(sig os.Signal) {
--- a/standin/experiment/added.go
+++ b/standin/experiment/added.go
@@ -57,7 +57,7 @@
 		Columns: []string{"target stands", "calls/s", "direct p50", "through p50", "added p50", "direct p99", "through p99", "added p99", "not ok", "schedule"},
 	}
 	err := a.withDeployment(ctx, "added-latency", addedFleet(), a.ServiceMs, func(d *deploy.Deployment) error {
-		here, there := d.Places[0], d.Places[1]
+		here, there := d.VMs[0], d.VMs[1]
 		for _, rate := range a.Rates {
 			a.measure(ctx, t, "on the entry's VM", rate, here, here)
 			a.measure(ctx, t, "on another VM of the zone", rate, here, there)
@@ -70,7 +70,7 @@
 	return a.publish("added-latency", t)
 }
 
-func (a *addedLatency) measure(ctx context.Context, t *table, where string, rate float64, entry, target deploy.Place) {
+func (a *addedLatency) measure(ctx context.Context, t *table, where string, rate float64, entry, target deploy.VM) {
 	const warmUp = 2 * time.Second
 	plan := load.Plan{Rate: 2*rate + a.Uploads, Duration: warmUp, Seed: 1, Kinds: a.kinds(rate, entry, target)}.WithDefaults()
 	client := load.NewClient(plan)
@@ -84,7 +84,7 @@
 		ms(directStats.P99), ms(throughStats.P99), ms(throughStats.P99-directStats.P99), count(float64(notOK)), scheduleStatus(r))
 }
 
-func (a *addedLatency) kinds(rate float64, entry, target deploy.Place) []load.Kind {
+func (a *addedLatency) kinds(rate float64, entry, target deploy.VM) []load.Kind {
 	kinds := []load.Kind{
 		{Name: direct, Service: target.Service, To: []string{target.Backend()}, Weight: int(rate)},
 		{Name: through, Service: target.Service, To: []string{entry.Callers()}, Weight: int(rate)},
@@ -100,7 +100,7 @@
 
 // scheduleStatus describes whether the sender kept its schedule.
 func scheduleStatus(r *load.Report) string {
-	if r.Kept() {
+	if r.ScheduleKept() {
 		return "kept"
 	}
 	return fmt.Sprintf("not kept: %d late", r.Late)
--- a/standin/experiment/capacity.go
+++ b/standin/experiment/capacity.go
@@ -148,7 +148,7 @@
 
 func (c *capacity) regionCut(ctx context.Context, d *deploy.Deployment, u *usage) error {
 	diff, _, err := measureDuring(ctx, d, func() error {
-		err := d.SetLinks(ctx,
+		err := d.SetLinkFaults(ctx,
 			deploy.LinkFault{From: "one-*", To: "t*", Cut: true}, deploy.LinkFault{From: "t*", To: "one-*", Cut: true})
 		if err != nil {
 			return err
@@ -159,7 +159,7 @@
 		return err
 	}
 	u.regionCut = ratesOf(diff, u.nodes, faultPhase)
-	if err := d.SetLinks(ctx); err != nil {
+	if err := d.SetLinkFaults(ctx); err != nil {
 		return err
 	}
 	return pause(ctx, settleTime)
@@ -167,11 +167,11 @@
 
 func (c *capacity) zoneRestarted(ctx context.Context, d *deploy.Deployment, u *usage) error {
 	diff, _, err := measureDuring(ctx, d, func() error {
-		for _, p := range d.Places {
+		for _, p := range d.VMs {
 			if p.Zone != "one-a" {
 				continue
 			}
-			if err := d.Node(p.VM).Kill(); err != nil {
+			if err := d.Node(p.Name).Kill(); err != nil {
 				return err
 			}
 		}
@@ -191,11 +191,11 @@
 }
 
 func (c *capacity) send(ctx context.Context, d *deploy.Deployment) error {
-	plan := load.Plan{Rate: c.Rate * float64(len(d.Places)), Duration: c.Load, Seed: 1}
+	plan := load.Plan{Rate: c.Rate * float64(len(d.VMs)), Duration: c.Load, Seed: 1}
 	for _, svc := range d.Fleet().Services {
 		plan.Kinds = append(plan.Kinds, load.Kind{Service: svc.Name, Timeout: timeout})
 	}
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		plan.To = append(plan.To, p.Callers())
 	}
 	plan = plan.WithDefaults()
--- a/standin/experiment/compare.go
+++ b/standin/experiment/compare.go
@@ -140,11 +140,11 @@
 
 // rate returns the call rate at which the share utilization of all slots is busy.
 func rate(d *deploy.Deployment) float64 {
-	return utilization * slots * float64(len(d.Places)) / (meanMs / 1000)
+	return utilization * slots * float64(len(d.VMs)) / (meanMs / 1000)
 }
 
 func (c *comparison) measure(ctx context.Context, d *deploy.Deployment, sc scenario, v variant, seed uint64) (measurement, error) {
-	m := measurement{nodes: len(d.Places)}
+	m := measurement{nodes: len(d.VMs)}
 	if err := c.prepare(ctx, d, v); err != nil {
 		return m, err
 	}
--- a/standin/experiment/figures.go
+++ b/standin/experiment/figures.go
@@ -121,7 +121,7 @@
 // allSchedules describes whether the sender kept its schedule in every run.
 func allSchedules(runs []measurement) string {
 	for _, m := range runs {
-		if !m.report.Kept() {
+		if !m.report.ScheduleKept() {
 			return scheduleStatus(m.report)
 		}
 	}
--- a/standin/experiment/play.go
+++ b/standin/experiment/play.go
@@ -31,7 +31,7 @@
 
 func send(ctx context.Context, d *deploy.Deployment, sc scenario, seed uint64) *load.Report {
 	plan := planOf(sc, rate(d), seed)
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		plan.To = append(plan.To, p.Callers())
 	}
 	client := load.NewClient(plan)
--- a/standin/experiment/scenario.go
+++ b/standin/experiment/scenario.go
@@ -88,11 +88,11 @@
 // with the first, or of the first one only if stride is 0.
 func setBackends(stride int, behaviour map[string]any) func(context.Context, *deploy.Deployment) error {
 	return func(ctx context.Context, d *deploy.Deployment) error {
-		for i, p := range d.Places {
+		for i, p := range d.VMs {
 			if i > 0 && (stride == 0 || i%stride != 0) {
 				continue
 			}
-			if err := d.SetBackend(ctx, p.VM, behaviour); err != nil {
+			if err := d.SetBackend(ctx, p.Name, behaviour); err != nil {
 				return err
 			}
 		}
@@ -103,7 +103,7 @@
 // reset restores the default behaviour of all backend servers and removes all
 // link faults.
 func reset(ctx context.Context, d *deploy.Deployment) error {
-	if err := d.SetLinks(ctx); err != nil {
+	if err := d.SetLinkFaults(ctx); err != nil {
 		return err
 	}
 	return setBackends(1, map[string]any{
@@ -114,7 +114,7 @@
 
 // cutRegion cuts the links between sc and the other regions.
 func cutRegion(ctx context.Context, d *deploy.Deployment) error {
-	return d.SetLinks(
+	return d.SetLinkFaults(
 		ctx, deploy.LinkFault{From: "sc-*", To: "rs-*", Cut: true}, deploy.LinkFault{From: "rs-*", To: "sc-*", Cut: true},
 		deploy.LinkFault{From: "sc-*", To: "pr-*", Cut: true}, deploy.LinkFault{From: "pr-*", To: "sc-*", Cut: true},
 	)
@@ -164,6 +164,6 @@
 	{name: "region-cut", about: "two of six servers of a region drain, and it is cut off the others from second 1 to 21", length: 23 * sec, steps: []step{
 		{0, drainTwo},
 		{1 * sec, cutRegion},
-		{21 * sec, func(ctx context.Context, d *deploy.Deployment) error { return d.SetLinks(ctx) }},
+		{21 * sec, func(ctx context.Context, d *deploy.Deployment) error { return d.SetLinkFaults(ctx) }},
 	}},
 }
--- a/standin/experiment/scrape.go
+++ b/standin/experiment/scrape.go
@@ -33,7 +33,7 @@
 type sample map[string]float64
 
 // scrape reads a node's metrics.
-func scrape(ctx context.Context, p deploy.Place) (sample, error) {
+func scrape(ctx context.Context, p deploy.VM) (sample, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Admin()+"/metrics", nil)
 	if err != nil {
 		return nil, err
@@ -72,8 +72,8 @@
 // restarted.
 func scrapeAll(ctx context.Context, d *deploy.Deployment) ([]sample, error) {
 	const tries, pause = 100, 50 * time.Millisecond
-	all := make([]sample, len(d.Places))
-	for i, p := range d.Places {
+	all := make([]sample, len(d.VMs))
+	for i, p := range d.VMs {
 		var err error
 		for range tries {
 			if all[i], err = scrape(ctx, p); err == nil || ctx.Err() != nil {
@@ -135,14 +135,14 @@
 func awaitRevision(ctx context.Context, d *deploy.Deployment, revision uint64) error {
 	const limit, pause = 20 * time.Second, 50 * time.Millisecond
 	end := time.Now().Add(limit)
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		for {
 			s, err := scrape(ctx, p)
 			if err == nil && s[metricRevision] == float64(revision) {
 				break
 			}
 			if time.Now().After(end) || ctx.Err() != nil {
-				return fmt.Errorf("%s doesn't have revision %d in force", p.VM, revision)
+				return fmt.Errorf("%s doesn't have revision %d in force", p.Name, revision)
 			}
 			time.Sleep(pause)
 		}
--- a/standin/matrix/arrange.go
+++ b/standin/matrix/arrange.go
@@ -64,7 +64,7 @@
 	w.holds = nil
 	for _, target := range w.targets {
 		// Errors are ignored: a stopped backend server holds no requests.
-		_ = w.d.Release(ctx, target.VM, w.heldIDs...)
+		_ = w.d.Release(ctx, target.Name, w.heldIDs...)
 	}
 	w.heldIDs = nil
 	var first error
--- a/standin/matrix/exchange.go
+++ b/standin/matrix/exchange.go
@@ -38,7 +38,7 @@
 	hold   string
 	// queuedBefore is the queue length of each guard before the request was sent.
 	queuedBefore map[string]int
-	front        deploy.Place
+	front        deploy.VM
 	body         []byte
 	halfSent     chan struct{}
 	resumeBody   chan struct{}
@@ -106,7 +106,7 @@
 }
 
 // sendAgain sends a second copy through another node while the first is in progress.
-func (x *exchange) sendAgain(front deploy.Place) {
+func (x *exchange) sendAgain(front deploy.VM) {
 	x.ended.Go(func() { x.sendThrough(front, bytes.NewReader(x.body)) })
 }
 
@@ -151,7 +151,7 @@
 	}
 }
 
-func (x *exchange) sendThrough(front deploy.Place, body io.Reader) {
+func (x *exchange) sendThrough(front deploy.VM, body io.Reader) {
 	path := "/once/"
 	if x.cell.Style == Read {
 		path = "/read/"
--- a/standin/matrix/fault.go
+++ b/standin/matrix/fault.go
@@ -95,13 +95,13 @@
 
 func freezeNode(_ context.Context, w *worker, vm string) (undo, error) {
 	p := w.d.Node(vm)
-	return func(context.Context) error { return p.Thaw() }, p.Freeze()
+	return func(context.Context) error { return p.Resume() }, p.Pause()
 }
 
 func platform(f deploy.PlatformFault) func(context.Context, *worker, string) (undo, error) {
 	return func(ctx context.Context, w *worker, _ string) (undo, error) {
-		back := func(ctx context.Context) error { return w.d.SetPlatform(ctx, w.zone, deploy.PlatformFault{}) }
-		return back, w.d.SetPlatform(ctx, w.zone, f)
+		back := func(ctx context.Context) error { return w.d.SetPlatformFault(ctx, w.zone, deploy.PlatformFault{}) }
+		return back, w.d.SetPlatformFault(ctx, w.zone, f)
 	}
 }
 
--- a/standin/matrix/leaving.go
+++ b/standin/matrix/leaving.go
@@ -7,7 +7,7 @@
 )
 
 // checkLeaving sends reads while a VM is leaving and checks that it gets none.
-func (w *worker) checkLeaving(ctx context.Context, v *Verdict, vm string) error {
+func (w *worker) checkLeaving(ctx context.Context, v *Result, vm string) error {
 	// A stopped process has been restarted by now and accepts new requests.
 	if !w.leaves(v.Cell) || slices.Contains(v.Cell.Faults, gracefulStop) {
 		return nil
@@ -27,7 +27,7 @@
 		x.wait(clientTimeout)
 		x.cancel()
 	}
-	runs, err := w.d.Runs(vm)
+	runs, err := w.d.LedgerEntries(vm)
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 func (w *worker) noticed(ctx context.Context, vm string) bool {
 	_, err := eventually(ctx, noticeLimit, func() (string, bool) {
 		for _, target := range w.targets {
-			if s, err := stateOf(ctx, target); target.VM == vm && err == nil && s.Control.Leaving {
+			if s, err := stateOf(ctx, target); target.Name == vm && err == nil && s.Control.Leaving {
 				return vm, true
 			}
 		}
--- a/standin/matrix/matrix.go
+++ b/standin/matrix/matrix.go
@@ -67,14 +67,14 @@
 func (c Cell) String() string { return fmt.Sprintf("%v at %q, %s", c.Faults, c.Step, c.Style) }
 
 // Result is the result of a cell.
-type Verdict struct {
+type Result struct {
 	Cell    Cell
 	Outcome Outcome
 	Kind    string
 	// Verified lists the guarantees that were tested and held.
 	Verified []Guarantee
 	// Violations describes the guarantees that were violated.
-	Broken []string
+	Violations []string
 	// Skipped is the reason why the cell doesn't apply; empty if it ran.
 	Skipped string
 	ids     []string
@@ -138,8 +138,8 @@
 }
 
 // Run runs the cells and returns their results in the same order.
-func (r *Runner) Run(ctx context.Context, cells []Cell) ([]Verdict, error) {
-	results := make([]Verdict, len(cells))
+func (r *Runner) Run(ctx context.Context, cells []Cell) ([]Result, error) {
+	results := make([]Result, len(cells))
 	next := make(chan int)
 	errs := make([]error, Workers)
 	var wg sync.WaitGroup
@@ -169,8 +169,8 @@
 }
 
 // checkLedgers adds the checks that need the ledgers, after all requests have ended.
-func (r *Runner) checkLedgers(results []Verdict) error {
-	starts, err := r.d.Starts()
+func (r *Runner) checkLedgers(results []Result) error {
+	starts, err := r.d.StartCounts()
 	if err != nil {
 		return err
 	}
@@ -191,13 +191,13 @@
 }
 
 // check records whether a guarantee held, if it applies.
-func (v *Verdict) check(p Guarantee, applies, held bool, format string, args ...any) {
+func (v *Result) check(p Guarantee, applies, held bool, format string, args ...any) {
 	switch {
 	case !applies:
 	case held:
 		v.Verified = append(v.Verified, p)
 	default:
-		v.Broken = append(v.Broken, string(p)+": "+fmt.Sprintf(format, args...))
+		v.Violations = append(v.Violations, string(p)+": "+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -213,7 +213,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.active = append(l.active, f)
-	return func(ctx context.Context) error { return l.remove(ctx, f) }, l.d.SetLinks(ctx, l.active...)
+	return func(ctx context.Context) error { return l.remove(ctx, f) }, l.d.SetLinkFaults(ctx, l.active...)
 }
 
 func (l *links) remove(ctx context.Context, f deploy.LinkFault) error {
@@ -222,5 +222,5 @@
 	if at := slices.Index(l.active, f); at >= 0 {
 		l.active = slices.Delete(l.active, at, at+1)
 	}
-	return l.d.SetLinks(ctx, l.active...)
+	return l.d.SetLinkFaults(ctx, l.active...)
 }
--- a/standin/matrix/reach.go
+++ b/standin/matrix/reach.go
@@ -15,7 +15,7 @@
 	x.send()
 	switch x.cell.Step {
 	case Accepted:
-		return w.targets[0].VM, x.waitHalfSent()
+		return w.targets[0].Name, x.waitHalfSent()
 	case Chosen, Sent:
 		return w.heldAt(ctx)
 	case Recorded:
@@ -47,9 +47,9 @@
 func (w *worker) findStarted(id string) func() (string, bool) {
 	return func() (string, bool) {
 		for _, target := range w.targets {
-			runs, err := w.d.Runs(target.VM)
-			if err == nil && slices.ContainsFunc(runs, func(r deploy.Run) bool { return r.ID == id }) {
-				return target.VM, true
+			runs, err := w.d.LedgerEntries(target.Name)
+			if err == nil && slices.ContainsFunc(runs, func(r deploy.LedgerEntry) bool { return r.ID == id }) {
+				return target.Name, true
 			}
 		}
 		return "", false
@@ -59,14 +59,14 @@
 // heldAt waits until the link holds bytes of the request, and returns the target's VM.
 func (w *worker) heldAt(ctx context.Context) (string, error) {
 	return eventually(ctx, reachLimit, func() (string, bool) {
-		held, err := w.d.Held(ctx, frontZone)
+		held, err := w.d.HeldTargets(ctx, frontZone)
 		if err != nil {
 			return "", false
 		}
 		for _, addr := range held {
 			for _, target := range w.targets {
 				if strings.HasPrefix(addr, target.IP()+":") {
-					return target.VM, true
+					return target.Name, true
 				}
 			}
 		}
@@ -92,7 +92,7 @@
 	n := map[string]int{}
 	for _, target := range w.targets {
 		if s, err := stateOf(ctx, target); err == nil {
-			n[target.VM] = s.Load.Waiting
+			n[target.Name] = s.Load.Waiting
 		}
 	}
 	return n
--- a/standin/matrix/recover.go
+++ b/standin/matrix/recover.go
@@ -30,10 +30,10 @@
 func (w *worker) unhealthy(ctx context.Context) string {
 	for _, target := range w.targets {
 		if s, err := stateOf(ctx, target); err != nil || !s.idle() {
-			return fmt.Sprintf("node %s: %+v %v", target.VM, s, err)
+			return fmt.Sprintf("node %s: %+v %v", target.Name, s, err)
 		}
 		if !backendLives(ctx, target) {
-			return "backend server of " + target.VM
+			return "backend server of " + target.Name
 		}
 	}
 	for _, front := range w.fronts {
@@ -44,7 +44,7 @@
 		x.wait(clientTimeout)
 		x.cancel()
 		if x.outcome != Ran {
-			return fmt.Sprintf("%s: %s %s", front.VM, x.outcome, x.detail)
+			return fmt.Sprintf("%s: %s %s", front.Name, x.outcome, x.detail)
 		}
 	}
 	return ""
--- a/standin/matrix/state.go
+++ b/standin/matrix/state.go
@@ -22,12 +22,12 @@
 	return s.Control.Joined && !s.Control.Leaving && s.Load.Running == 0 && s.Load.Waiting == 0
 }
 
-func stateOf(ctx context.Context, p deploy.Place) (s state, err error) {
+func stateOf(ctx context.Context, p deploy.VM) (s state, err error) {
 	err = deploy.Get(ctx, "http://"+p.Admin()+"/v1/dump", &s)
 	return s, err
 }
 
-func backendLives(ctx context.Context, p deploy.Place) bool {
+func backendLives(ctx context.Context, p deploy.VM) bool {
 	var h struct {
 		State   string `json:"state"`
 		Running int    `json:"running"`
--- a/standin/matrix/worker.go
+++ b/standin/matrix/worker.go
@@ -39,7 +39,7 @@
 	*Runner
 	zone, service   string
 	client          *http.Client
-	fronts, targets []deploy.Place
+	fronts, targets []deploy.VM
 	// holds are functions that remove what holds the request of the cell at its step.
 	holds []undo
 	// heldIDs are the ids of requests that backend servers may hold.
@@ -49,7 +49,7 @@
 func newWorker(r *Runner, n int) *worker {
 	w := &worker{Runner: r, zone: zoneOf(n), service: serviceOf(n), client: &http.Client{Timeout: clientTimeout}}
 	w.client.Transport = &http.Transport{}
-	for _, p := range r.d.Places {
+	for _, p := range r.d.VMs {
 		switch p.Zone {
 		case frontZone:
 			w.fronts = append(w.fronts, p)
@@ -63,11 +63,11 @@
 func (w *worker) close() { w.client.CloseIdleConnections() }
 
 // run runs one cell. It tries again if the request doesn't reach its step.
-func (w *worker) run(ctx context.Context, c Cell) (Verdict, error) {
+func (w *worker) run(ctx context.Context, c Cell) (Result, error) {
 	if why := w.skip(c); why != "" {
-		return Verdict{Cell: c, Skipped: why}, nil
+		return Result{Cell: c, Skipped: why}, nil
 	}
-	var v Verdict
+	var v Result
 	var err error
 	for range attempts {
 		if err = w.waitHealthy(ctx); err != nil {
@@ -105,28 +105,28 @@
 
 // runCell brings a request to its step, injects the faults, resumes the request,
 // removes the faults and checks the outcome.
-func (w *worker) runCell(ctx context.Context, c Cell) (Verdict, error) {
+func (w *worker) runCell(ctx context.Context, c Cell) (Result, error) {
 	x := w.newExchange(ctx, c)
 	defer x.cancel()
 	if err := w.prepareHold(ctx, x); err != nil {
-		return Verdict{}, err
+		return Result{}, err
 	}
 	vm, err := w.reach(ctx, x)
 	if err != nil {
 		w.releaseAll(ctx)
-		return Verdict{}, err
+		return Result{}, err
 	}
 	undos, err := w.inject(ctx, c, vm)
 	if err != nil {
-		return Verdict{}, err
+		return Result{}, err
 	}
 	injected := time.Now()
 	time.Sleep(faultLead)
 	if err := w.releaseAll(ctx); err != nil {
-		return Verdict{}, err
+		return Result{}, err
 	}
 	x.wait(time.Until(injected.Add(faultDuration)))
-	v := Verdict{Cell: c}
+	v := Result{Cell: c}
 	if err := w.checkLeaving(ctx, &v, vm); err != nil {
 		return v, err
 	}
--- a/test/matrix/matrix_test.go
+++ b/test/matrix/matrix_test.go
@@ -62,14 +62,14 @@
 }
 
 // reportVerdicts fails the test for each broken guarantee and logs how many cells ran.
-func reportVerdicts(t *testing.T, verdicts []matrix.Verdict) {
+func reportVerdicts(t *testing.T, verdicts []matrix.Result) {
 	t.Helper()
 	ran := 0
 	for _, v := range verdicts {
 		if v.Skipped == "" {
 			ran++
 		}
-		for _, broken := range v.Broken {
+		for _, broken := range v.Violations {
 			t.Errorf("%s: %s", v.Cell, broken)
 		}
 	}
--- a/test/process/answers_test.go
+++ b/test/process/answers_test.go
@@ -40,7 +40,7 @@
 				for j := range body {
 					body[j] = byte(rnd.Uint32())
 				}
-				p := d.Places[rnd.IntN(len(d.Places))]
+				p := d.VMs[rnd.IntN(len(d.VMs))]
 				req, err := http.NewRequest(http.MethodPost, "http://"+p.Callers()+"/stock/check", bytes.NewReader(body))
 				if err != nil {
 					t.Error(err)
@@ -77,7 +77,7 @@
 	const size = 256 << 20
 	const maxMemoryKB = 128 << 10
 	body := &generatedBody{remaining: size, sum: sha256.New()}
-	req, err := http.NewRequest(http.MethodPut, "http://"+d.Places[0].Callers()+"/uploads/chart", body)
+	req, err := http.NewRequest(http.MethodPut, "http://"+d.VMs[0].Callers()+"/uploads/chart", body)
 	require.NoError(t, err)
 	req.ContentLength = size
 	req.Header.Set(headers.Service, "depot")
@@ -95,8 +95,8 @@
 	require.Equal(t, hex.EncodeToString(body.sum.Sum(nil)), received.Sha256)
 	require.EqualValues(t, size, received.Size)
 	peak := 0
-	for _, p := range d.Places {
-		peak = max(peak, peakMemoryKB(t, d.Node(p.VM).Pid()))
+	for _, p := range d.VMs {
+		peak = max(peak, peakMemoryKB(t, d.Node(p.Name).Pid()))
 	}
 	t.Logf("peak memory of any node: %d KB", peak)
 	require.Less(t, peak, maxMemoryKB)
@@ -150,7 +150,7 @@
 					return
 				default:
 				}
-				p := d.Places[(i+n)%len(d.Places)]
+				p := d.VMs[(i+n)%len(d.VMs)]
 				status, k, err := get(ctx, p, uuid.NewString(), fmt.Sprintf("/catalogue/%d", n%50), false)
 				sent.Add(1)
 				if err != nil || status != http.StatusOK {
--- a/test/process/configuration_test.go
+++ b/test/process/configuration_test.go
@@ -20,7 +20,7 @@
 )
 
 // fetchDump reads a node's state dump from its admin listener.
-func fetchDump(p deploy.Place) (admin.Dump, error) {
+func fetchDump(p deploy.VM) (admin.Dump, error) {
 	var d admin.Dump
 	resp, err := http.Get("http://" + p.Admin() + "/v1/dump")
 	if err != nil {
@@ -32,7 +32,7 @@
 
 // revisionInForce returns the configuration revision in force at a node, 0 if
 // there is none or the node does not answer.
-func revisionInForce(p deploy.Place) uint64 {
+func revisionInForce(p deploy.VM) uint64 {
 	d, err := fetchDump(p)
 	if err != nil {
 		return 0
@@ -48,11 +48,11 @@
 	state, err := d.PlatformState(ctx)
 	require.NoError(t, err)
 	for _, zone := range []string{"pr-a", "pr-b"} {
-		require.NoError(t, d.SetPlatform(ctx, zone, deploy.PlatformFault{FrozenAt: state.Version}))
+		require.NoError(t, d.SetPlatformFault(ctx, zone, deploy.PlatformFault{FrozenAt: state.Version}))
 	}
 	stop := make(chan struct{})
 	var watchers sync.WaitGroup
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		watchers.Go(func() {
 			newest := uint64(0)
 			for {
@@ -63,7 +63,7 @@
 				}
 				now := revisionInForce(p)
 				if now != 0 && now < newest {
-					t.Errorf("%s went from revision %d back to %d", p.VM, newest, now)
+					t.Errorf("%s went from revision %d back to %d", p.Name, newest, now)
 				}
 				newest = max(newest, now)
 			}
@@ -73,15 +73,15 @@
 	for rev := uint64(2); rev <= revisions; rev++ {
 		published := time.Now()
 		require.NoError(t, d.Publish(ctx, deployments.CestaViva(rev)))
-		for _, p := range d.Places {
-			require.Eventually(t, func() bool { return revisionInForce(p) == rev }, waitLimit, pollEvery, p.VM)
+		for _, p := range d.VMs {
+			require.Eventually(t, func() bool { return revisionInForce(p) == rev }, waitLimit, pollEvery, p.Name)
 		}
 		t.Logf("revision %d in force on all nodes after %s", rev, time.Since(published).Round(time.Millisecond))
-		require.NoError(t, d.Node(d.Places[int(rev)%len(d.Places)].VM).Kill())
+		require.NoError(t, d.Node(d.VMs[int(rev)%len(d.VMs)].Name).Kill())
 		require.NoError(t, d.Node("catalogue-pr-a").Kill())
 	}
-	for _, p := range d.Places {
-		require.Eventually(t, func() bool { return revisionInForce(p) == revisions }, waitLimit, pollEvery, p.VM)
+	for _, p := range d.VMs {
+		require.Eventually(t, func() bool { return revisionInForce(p) == revisions }, waitLimit, pollEvery, p.Name)
 	}
 	close(stop)
 	watchers.Wait()
--- a/test/process/handover_test.go
+++ b/test/process/handover_test.go
@@ -23,9 +23,9 @@
 	_, d := startDeployment(t)
 	waitForKeys(t, d)
 	home := "depot-rs-a"
-	var others []deploy.Place
-	for _, p := range d.Places {
-		if p.VM != home {
+	var others []deploy.VM
+	for _, p := range d.VMs {
+		if p.Name != home {
 			others = append(others, p)
 		}
 	}
@@ -43,7 +43,7 @@
 		_, _ = post(t, others[0], "depot", oldKeys[0])
 		_, _ = post(t, others[1], "depot", newKey)
 		s, err := fetchDump(placeOf(d, home))
-		return err == nil && s.Control.Joined && s.Control.Self.Incarnation != before && s.Attempts.Keys.Taken
+		return err == nil && s.Control.Joined && s.Control.Self.Incarnation != before && s.Attempts.Keys.Restored
 	}, waitLimit, pollEvery)
 	var k kind.Kind
 	require.Eventually(t, func() bool {
@@ -94,13 +94,13 @@
 	}
 }
 
-func placeOf(d *deploy.Deployment, vm string) deploy.Place {
-	for _, p := range d.Places {
-		if p.VM == vm {
+func placeOf(d *deploy.Deployment, vm string) deploy.VM {
+	for _, p := range d.VMs {
+		if p.Name == vm {
 			return p
 		}
 	}
-	return deploy.Place{}
+	return deploy.VM{}
 }
 
 func incarnationOf(t *testing.T, d *deploy.Deployment, vm string) uint64 {
@@ -118,7 +118,7 @@
 // at-most-once request ran twice.
 func requireNoRepeatedRuns(t *testing.T, d *deploy.Deployment, vm string) {
 	t.Helper()
-	runs, err := d.Runs(vm)
+	runs, err := d.LedgerEntries(vm)
 	require.NoError(t, err)
 	starts := map[string]int{}
 	for _, r := range runs {
--- a/test/process/killer_test.go
+++ b/test/process/killer_test.go
@@ -26,7 +26,7 @@
 
 // get sends a read to the catalogue service and returns its status and error
 // kind. With crash set, the request crashes the backend server that runs it.
-func get(ctx context.Context, p deploy.Place, id, path string, crash bool) (status int, k kind.Kind, err error) {
+func get(ctx context.Context, p deploy.VM, id, path string, crash bool) (status int, k kind.Kind, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Callers()+path, nil)
 	if err != nil {
 		return 0, "", err
@@ -61,7 +61,7 @@
 					return
 				default:
 				}
-				status, k, err := get(ctx, d.Places[(i+n)%len(d.Places)], uuid.NewString(), "/catalogue/week", false)
+				status, k, err := get(ctx, d.VMs[(i+n)%len(d.VMs)], uuid.NewString(), "/catalogue/week", false)
 				if err != nil || status != http.StatusOK {
 					t.Errorf("a read of another caller failed: %d %s %v", status, k, err)
 				}
@@ -71,21 +71,21 @@
 	// The caller retries after each Retry-After interval, each time at another node.
 	sends := 0
 	require.Eventually(t, func() bool {
-		p := d.Places[sends%len(d.Places)]
+		p := d.VMs[sends%len(d.VMs)]
 		sends++
 		_, k, err := get(ctx, p, crashingID, "/catalogue/crash", true)
 		require.NoError(t, err)
 		return k == kind.Blocked
 	}, waitLimit, retryInterval)
-	for _, p := range d.Places {
-		require.Eventually(t, func() bool { return blocksRequest(p) }, waitLimit, pollEvery, p.VM)
+	for _, p := range d.VMs {
+		require.Eventually(t, func() bool { return blocksRequest(p) }, waitLimit, pollEvery, p.Name)
 	}
 	runs := crashingRuns(t, d)
 	t.Logf("%d runs of the crashing read before it was blocked, %d sends", runs, sends)
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		_, k, err := get(ctx, p, crashingID, "/catalogue/crash", true)
 		require.NoError(t, err)
-		require.Equal(t, kind.Blocked, k, p.VM)
+		require.Equal(t, kind.Blocked, k, p.Name)
 	}
 	require.Equal(t, runs, crashingRuns(t, d), "a blocked read must not run")
 	close(stop)
@@ -94,14 +94,14 @@
 
 func crashingRuns(t *testing.T, d *deploy.Deployment) int {
 	t.Helper()
-	starts, err := d.Starts()
+	starts, err := d.StartCounts()
 	require.NoError(t, err)
 	return starts[crashingID]
 }
 
 // blocksRequest reports whether a node knows of a request whose runs ended in at
 // least two crashes, at least one of them with no other request in flight.
-func blocksRequest(p deploy.Place) bool {
+func blocksRequest(p deploy.VM) bool {
 	d, err := fetchDump(p)
 	if err != nil {
 		return false
--- a/test/process/process_test.go
+++ b/test/process/process_test.go
@@ -74,7 +74,7 @@
 	ctx, d := startDeployment(t)
 	waitForKeys(t, d)
 	r, err := chaos.Run(ctx, d, chaos.Options{
-		Requests: *chaosRequests, Callers: 60, Pace: 200 * time.Millisecond, Seed: *chaosSeed, Log: t.Logf,
+		Requests: *chaosRequests, Callers: 60, Interval: 200 * time.Millisecond, Seed: *chaosSeed, Log: t.Logf,
 	})
 	require.NoError(t, err)
 	t.Log(r)
@@ -93,7 +93,7 @@
 	ok := 0
 	require.Eventually(t, func() bool {
 		for _, service := range []string{"orders", "depot"} {
-			if status, _ := post(t, d.Places[ok%len(d.Places)], service, uuid.NewString()); status != http.StatusOK {
+			if status, _ := post(t, d.VMs[ok%len(d.VMs)], service, uuid.NewString()); status != http.StatusOK {
 				ok = 0
 				return false
 			}
@@ -104,7 +104,7 @@
 }
 
 // post sends an at-most-once request with an idempotency key chosen by the caller.
-func post(t *testing.T, p deploy.Place, service, key string) (int, kind.Kind) {
+func post(t *testing.T, p deploy.VM, service, key string) (int, kind.Kind) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+p.Callers()+"/payouts/run", strings.NewReader("x"))
 	require.NoError(t, err)
--- a/test/process/recovery_test.go
+++ b/test/process/recovery_test.go
@@ -16,7 +16,7 @@
 
 // runsStarted returns how many runs the backend server of a VM has started.
 func runsStarted(t *testing.T, d *deploy.Deployment, vm string) int {
-	runs, err := d.Runs(vm)
+	runs, err := d.LedgerEntries(vm)
 	require.NoError(t, err)
 	n := 0
 	for _, r := range runs {
@@ -32,29 +32,29 @@
 // must still be served, and the removed backend server must receive no request.
 func TestResumedEntrySendsNothingToRemovedTarget(t *testing.T) {
 	ctx, d := startDeployment(t)
-	entry, removed := d.Places[0], "catalogue-rs-b"
-	var guard deploy.Place
-	for _, p := range d.Places {
-		if p.VM == removed {
+	entry, removed := d.VMs[0], "catalogue-rs-b"
+	var guard deploy.VM
+	for _, p := range d.VMs {
+		if p.Name == removed {
 			guard = p
 		}
 	}
-	require.NoError(t, d.Node(entry.VM).Freeze())
+	require.NoError(t, d.Node(entry.Name).Pause())
 	next := deployments.CestaViva(2)
 	for i := range next.Services {
 		next.Services[i].Queue = 20
 	}
 	require.NoError(t, d.Publish(ctx, next))
 	require.NoError(t, d.SetVM(ctx, removed, "leaving"))
-	for _, p := range d.Places[1:] {
-		require.Eventually(t, func() bool { return revisionInForce(p) == 2 }, waitLimit, pollEvery, p.VM)
+	for _, p := range d.VMs[1:] {
+		require.Eventually(t, func() bool { return revisionInForce(p) == 2 }, waitLimit, pollEvery, p.Name)
 	}
 	require.Eventually(t, func() bool {
 		state, err := fetchDump(guard)
 		return err == nil && state.Control.Leaving
 	}, waitLimit, pollEvery, "the guard knows that its VM is leaving")
 	before := runsStarted(t, d, removed)
-	require.NoError(t, d.Node(entry.VM).Thaw())
+	require.NoError(t, d.Node(entry.Name).Resume())
 	const reads = 200
 	for range reads {
 		status, k, err := get(ctx, entry, uuid.NewString(), "/catalogue/week", false)
@@ -71,8 +71,8 @@
 func TestKilledZoneRecoversWithBoundedLoad(t *testing.T) {
 	ctx, d := startDeployment(t)
 	require.NoError(t, d.Publish(ctx, deployments.CestaViva(2)))
-	for _, p := range d.Places {
-		require.Eventually(t, func() bool { return revisionInForce(p) == 2 }, waitLimit, pollEvery, p.VM)
+	for _, p := range d.VMs {
+		require.Eventually(t, func() bool { return revisionInForce(p) == 2 }, waitLimit, pollEvery, p.Name)
 	}
 	calls := func() (n uint64) {
 		state, err := d.PlatformState(ctx)
@@ -86,22 +86,22 @@
 	sent := startReaders(ctx, d, zone)
 	before, start := calls(), time.Now()
 	oldIncarnations := map[string]uint64{}
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		if p.Zone == zone {
 			state, err := fetchDump(p)
 			require.NoError(t, err)
-			oldIncarnations[p.VM] = state.Control.Self.Incarnation
-			require.NoError(t, d.Node(p.VM).Kill())
+			oldIncarnations[p.Name] = state.Control.Self.Incarnation
+			require.NoError(t, d.Node(p.Name).Kill())
 		}
 	}
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		if p.Zone != zone {
 			continue
 		}
 		require.Eventually(t, func() bool {
 			state, err := fetchDump(p)
-			return err == nil && state.Control.Joined && state.Control.Self.Incarnation != oldIncarnations[p.VM]
-		}, waitLimit, pollEvery, p.VM)
+			return err == nil && state.Control.Joined && state.Control.Self.Incarnation != oldIncarnations[p.Name]
+		}, waitLimit, pollEvery, p.Name)
 		require.EqualValues(t, 2, revisionInForce(p))
 	}
 	elapsed, platformCalls := time.Since(start), calls()-before
@@ -123,7 +123,7 @@
 // leave processor time to tests that run in parallel.
 func startReaders(ctx context.Context, d *deploy.Deployment, exceptZone string) *atomic.Int64 {
 	sent := &atomic.Int64{}
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		for range readersPerNode {
 			go func() {
 				for p.Zone != exceptZone && ctx.Err() == nil {
@@ -142,21 +142,21 @@
 // of that second.
 func requireBoundedLoad(t *testing.T, d *deploy.Deployment, zone string, sent *atomic.Int64) {
 	runs := map[string]int{}
-	for _, p := range d.Places {
-		runs[p.VM] = runsStarted(t, d, p.VM)
+	for _, p := range d.VMs {
+		runs[p.Name] = runsStarted(t, d, p.Name)
 	}
 	before := sent.Load()
 	time.Sleep(time.Second)
 	share := int(sent.Load()-before) / 6
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		if p.Zone != zone {
 			continue
 		}
 		connections := readCounter(t, p, `limpetdock_http_connections_total{server="guard"}`)
-		ran := runsStarted(t, d, p.VM) - runs[p.VM]
-		t.Logf("%s: %v connections since its start, %d runs; an equal share of the reads sent is %d", p.VM, connections, ran, share)
-		require.LessOrEqual(t, connections, float64(maxConnectionsAfterStart), p.VM)
-		require.LessOrEqual(t, ran, 2*share+4, p.VM)
+		ran := runsStarted(t, d, p.Name) - runs[p.Name]
+		t.Logf("%s: %v connections since its start, %d runs; an equal share of the reads sent is %d", p.Name, connections, ran, share)
+		require.LessOrEqual(t, connections, float64(maxConnectionsAfterStart), p.Name)
+		require.LessOrEqual(t, ran, 2*share+4, p.Name)
 	}
 }
 
--- a/test/process/rolling_test.go
+++ b/test/process/rolling_test.go
@@ -64,14 +64,14 @@
 		c := rollingRequests[rnd.IntN(len(rollingRequests))]
 		id := uuid.NewString()
 		body := bytes.Repeat([]byte{byte('a' + rnd.IntN(26))}, c.size)
-		for !r.send(client, d.Places[rnd.IntN(len(d.Places))], c.service, c.method, c.path, id, body) {
+		for !r.send(client, d.VMs[rnd.IntN(len(d.VMs))], c.service, c.method, c.path, id, body) {
 		}
 	}
 }
 
 // send sends a request once. It reports whether the request is finished, whether
 // it succeeded or failed; otherwise the caller may send it again.
-func (r *rollingResults) send(client *http.Client, p deploy.Place, service, method, path, id string, body []byte) bool {
+func (r *rollingResults) send(client *http.Client, p deploy.VM, service, method, path, id string, body []byte) bool {
 	req, err := http.NewRequest(method, "http://"+p.Callers()+path, bytes.NewReader(body))
 	if err != nil {
 		panic(err)
@@ -86,7 +86,7 @@
 		return false
 	}
 	if err != nil {
-		r.add(func() { r.failures = append(r.failures, fmt.Sprintf("%s %s at %s: %v", method, path, p.VM, err)) })
+		r.add(func() { r.failures = append(r.failures, fmt.Sprintf("%s %s at %s: %v", method, path, p.Name, err)) })
 		return true
 	}
 	defer func() { _ = resp.Body.Close() }()
@@ -97,7 +97,7 @@
 		return false
 	case err != nil || resp.StatusCode != http.StatusOK || len(body) > 0 && !bytes.Equal(got, body):
 		r.add(func() {
-			r.failures = append(r.failures, fmt.Sprintf("%s %s at %s: %s %.200s %v", method, path, p.VM, resp.Status, got, err))
+			r.failures = append(r.failures, fmt.Sprintf("%s %s at %s: %s %.200s %v", method, path, p.Name, resp.Status, got, err))
 		})
 	default:
 		r.add(func() { r.done[id] = true })
@@ -126,13 +126,13 @@
 	t.Logf("%d answered; answered not run and sent to another node: %d; no connection: %d", len(r.done), r.notRun, r.dialErrors)
 	require.Empty(t, r.failures)
 	require.NotEmpty(t, r.done)
-	starts, err := d.Starts()
+	starts, err := d.StartCounts()
 	require.NoError(t, err)
 	for id := range r.done {
 		require.GreaterOrEqual(t, starts[id], 1, id)
 	}
-	for _, p := range d.Places {
-		runs, err := d.Runs(p.VM)
+	for _, p := range d.VMs {
+		runs, err := d.LedgerEntries(p.Name)
 		require.NoError(t, err)
 		for _, run := range runs {
 			if run.Method == http.MethodPost && run.Event == "start" {
@@ -145,23 +145,23 @@
 // restartZone stops all nodes of a zone and waits until their successors have joined.
 func restartZone(t *testing.T, d *deploy.Deployment, zone string) {
 	before := map[string]uint64{}
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		if p.Zone == zone {
 			state, err := fetchDump(p)
 			require.NoError(t, err)
-			before[p.VM] = state.Control.Self.Incarnation
-			require.NoError(t, d.Node(p.VM).Signal(syscall.SIGTERM))
+			before[p.Name] = state.Control.Self.Incarnation
+			require.NoError(t, d.Node(p.Name).Signal(syscall.SIGTERM))
 		}
 	}
 	start := time.Now()
-	for _, p := range d.Places {
+	for _, p := range d.VMs {
 		if p.Zone != zone {
 			continue
 		}
 		require.Eventually(t, func() bool {
 			state, err := fetchDump(p)
-			return err == nil && state.Control.Joined && state.Control.Self.Incarnation != before[p.VM]
-		}, waitLimit, pollEvery, p.VM)
+			return err == nil && state.Control.Joined && state.Control.Self.Incarnation != before[p.Name]
+		}, waitLimit, pollEvery, p.Name)
 	}
 	t.Logf("%s restarted in %v", zone, time.Since(start).Round(time.Millisecond))
 }
--- a/test/process/scale_test.go
+++ b/test/process/scale_test.go
@@ -38,7 +38,7 @@
 }
 
 // readCounter returns the value of a counter in a node's metrics.
-func readCounter(b testing.TB, p deploy.Place, name string) float64 {
+func readCounter(b testing.TB, p deploy.VM, name string) float64 {
 	resp, err := http.Get("http://" + p.Admin() + "/metrics")
 	require.NoError(b, err)
 	defer func() { _ = resp.Body.Close() }()
@@ -49,7 +49,7 @@
 			return n
 		}
 	}
-	b.Fatalf("%s has no %s", p.VM, name)
+	b.Fatalf("%s has no %s", p.Name, name)
 	return 0
 }
 
@@ -74,7 +74,7 @@
 				for _, n := range state.Calls {
 					calls += float64(n)
 				}
-				for _, p := range d.Places {
+				for _, p := range d.VMs {
 					bytes += readCounter(b, p, "limpetdock_control_sent_bytes_total")
 					seconds += readCounter(b, p, "process_cpu_seconds_total")
 				}
@@ -84,7 +84,7 @@
 				calls, bytes, seconds := read()
 				time.Sleep(length)
 				callsAfter, bytesAfter, secondsAfter := read()
-				n := float64(len(d.Places)) * length.Seconds()
+				n := float64(len(d.VMs)) * length.Seconds()
 				b.ReportMetric((callsAfter-calls)/length.Minutes(), "platform-calls/min")
 				b.ReportMetric((bytesAfter-bytes)/n, "sent-B/s/node")
 				b.ReportMetric((secondsAfter-seconds)/n*100, "cpu-%/node")
--- a/test/process/tool_test.go
+++ b/test/process/tool_test.go
@@ -34,14 +34,14 @@
 // Runs the commands of the operators' tool on a running deployment.
 func TestOperatorToolOnRunningDeployment(t *testing.T) {
 	_, d := startDeployment(t)
-	node := d.Places[0].Admin()
+	node := d.VMs[0].Admin()
 	table := filepath.Join(filepath.Dir(filepath.Dir(d.Ledger("x"))), "nodes.tsv")
 
 	code, out := runTool(t, "", "status", "--json", "--nodes", table)
 	require.Equal(t, cli.ExitOK, code, out)
 	var report cli.Report
 	require.NoError(t, json.Unmarshal([]byte(out), &report))
-	require.Equal(t, map[uint64]int{1: len(d.Places)}, report.Revisions)
+	require.Equal(t, map[uint64]int{1: len(d.VMs)}, report.Revisions)
 
 	code, config := runTool(t, "", "config", "print", node)
 	require.Equal(t, cli.ExitOK, code, config)
@@ -52,7 +52,7 @@
 		{"dump", node},
 		{"dump", "--table", node},
 		{"explain", "--method", "POST", node, "orders/orders/confirm"},
-		{"settings", "check", filepath.Join(filepath.Dir(table), "settings", d.Places[0].VM+".ini")},
+		{"settings", "check", filepath.Join(filepath.Dir(table), "settings", d.VMs[0].Name+".ini")},
 	} {
 		code, out := runTool(t, "", args...)
 		require.Equal(t, cli.ExitOK, code, "%v: %s", args, out)
@@ -73,14 +73,14 @@
 	dir := t.TempDir()
 	require.NoError(t, pub.WriteDir(dir))
 	code, out = runTool(t, "", "config", "diff", node, dir)
-	require.Equal(t, cli.ExitFound, code, out)
+	require.Equal(t, cli.ExitFindings, code, out)
 	require.Contains(t, out, "/orders/* goes from at most once to idempotent")
 
 	// The status command reports a node that is down.
-	stopped := d.Node(d.Places[0].VM)
+	stopped := d.Node(d.VMs[0].Name)
 	stopped.End(os.Kill)
 	stopped.Wait(time.Minute)
 	code, out = runTool(t, "", "status", "--nodes", table)
-	require.Equal(t, cli.ExitFound, code, out)
+	require.Equal(t, cli.ExitFindings, code, out)
 	require.Contains(t, out, "can't be asked")
 }
