--- a/internal/crowd/crowd.go
+++ b/internal/contention/contention.go
@@ -1,7 +1,7 @@
-// Package crowd learns how a backend server slows down as the number of requests that it runs
+// Package contention learns how a backend server slows down as the number of requests that it runs
 // at once grows, and derives how many it should run. It uses no clock: all decisions depend on
 // samples only.
-package crowd
+package contention
 
 import (
 	"math"
--- a/internal/crowd/crowd_test.go
+++ b/internal/contention/contention_test.go
@@ -1,4 +1,4 @@
-package crowd_test
+package contention_test
 
 import (
 	"math"
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/limpetdock/limpetdock/internal/crowd"
+	"github.com/limpetdock/limpetdock/internal/contention"
 )
 
 // server simulates a backend server that slows down beyond some number of requests.
@@ -47,21 +47,21 @@
 var baseTimes = []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond}
 
 // sample draws a request of a random class at level n with the given contention factor.
-func sample(rnd *rand.Rand, n int, factor float64) crowd.Sample {
+func sample(rnd *rand.Rand, n int, factor float64) contention.Sample {
 	i := rnd.IntN(len(baseTimes))
 	serviceTime := float64(baseTimes[i]) * factor * math.Exp(spread*rnd.NormFloat64())
-	return crowd.Sample{Class: strconv.Itoa(i), Level: n, ServiceTime: time.Duration(serviceTime)}
+	return contention.Sample{Class: strconv.Itoa(i), Level: n, ServiceTime: time.Duration(serviceTime)}
 }
 
 // exactSample returns a request of one class at level n that takes exactly factor times the
 // reported base service time.
-func exactSample(n int, factor float64) crowd.Sample {
-	return crowd.Sample{Class: "a", Level: n, ServiceTime: time.Duration(factor * float64(baseTimes[1])), ReportedBaseTime: baseTimes[1]}
+func exactSample(n int, factor float64) contention.Sample {
+	return contention.Sample{Class: "a", Level: n, ServiceTime: time.Duration(factor * float64(baseTimes[1])), ReportedBaseTime: baseTimes[1]}
 }
 
 // drive feeds the curve with requests at random levels up to what the curve allows, and
 // returns the throughput reached, relative to the best possible.
-func drive(c *crowd.Curve, s server, rnd *rand.Rand, requests int) float64 {
+func drive(c *contention.Curve, s server, rnd *rand.Rand, requests int) float64 {
 	reached := 0.0
 	for range requests {
 		n := 1 + rnd.IntN(c.Limit())
@@ -93,7 +93,7 @@
 			worst := 1.0
 			for seed := range uint64(5) {
 				rnd := rand.New(rand.NewPCG(seed, 1))
-				c := crowd.New(s.slots)
+				c := contention.New(s.slots)
 				drive(c, s, rnd, 40*s.slots)
 				worst = min(worst, drive(c, s, rnd, 40*s.slots))
 			}
@@ -107,7 +107,7 @@
 // one. The limit must go down and up again.
 func TestLimitFollowsServerDownAndUp(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 3))
-	c := crowd.New(9)
+	c := contention.New(9)
 	late, early := server{slots: 9, knee: 7, kneeFactor: 1.7}, server{slots: 9, knee: 4, kneeFactor: 3}
 	drive(c, late, rnd, 300)
 	require.Equal(t, 7, c.Limit())
@@ -121,7 +121,7 @@
 // limit for good.
 func TestUniformSlowdownKeepsLimit(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(4, 4))
-	c := crowd.New(9)
+	c := contention.New(9)
 	s := server{slots: 9, knee: 7, kneeFactor: 1.7}
 	drive(c, s, rnd, 300)
 	for range 400 {
@@ -137,7 +137,7 @@
 func TestLimitRecoversFromSustainedOverload(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 5))
 	s := server{slots: 9, knee: 4, kneeFactor: 3}
-	c := crowd.New(9)
+	c := contention.New(9)
 	for n := 5; n <= 9; n++ {
 		c.Learn(exactSample(n, 1))
 	}
@@ -151,7 +151,7 @@
 // Before anything has been measured, two thirds of the slots are used and one more request is
 // tried at a time, so that the first burst doesn't overload a server with an early knee.
 func TestLimitStartsLowAndRisesOneByOne(t *testing.T) {
-	c := crowd.New(12)
+	c := contention.New(12)
 	require.Equal(t, 8, c.Limit())
 	require.Equal(t, 9, c.TrialLimit())
 	for _, n := range []int{4, 8, 9} {
@@ -168,24 +168,24 @@
 }
 
 func TestInvalidSamplesAreIgnored(t *testing.T) {
-	c := crowd.New(3)
+	c := contention.New(3)
 	for _, serviceTime := range []time.Duration{0, -1} {
-		c.Learn(crowd.Sample{Class: "a", Level: 1, ServiceTime: serviceTime})
+		c.Learn(contention.Sample{Class: "a", Level: 1, ServiceTime: serviceTime})
 	}
 	c.Learn(exactSample(0, 1))
 	c.Learn(exactSample(4, 1))
-	require.Equal(t, crowd.New(3).Limit(), c.Limit())
-	require.Zero(t, crowd.New(0).Limit())
-	require.InDelta(t, 1, crowd.New(0).ContentionFactor(2), 0)
+	require.Equal(t, contention.New(3).Limit(), c.Limit())
+	require.Zero(t, contention.New(0).Limit())
+	require.InDelta(t, 1, contention.New(0).ContentionFactor(2), 0)
 }
 
 // For any samples, the fitted curve must never fall and the limits must stay within the slots.
 func TestCurveIsMonotonicAndWithinSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 40).Draw(t, "slots")
-		c := crowd.New(slots)
+		c := contention.New(slots)
 		for range rapid.IntRange(0, 200).Draw(t, "requests") {
-			c.Learn(crowd.Sample{
+			c.Learn(contention.Sample{
 				Class:            rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"),
 				Level:            rapid.IntRange(0, slots+1).Draw(t, "level"),
 				ServiceTime:      time.Duration(rapid.Int64Range(-1, 1e10).Draw(t, "took")),
@@ -203,7 +203,7 @@
 }
 
 func BenchmarkLearn(b *testing.B) {
-	c := crowd.New(30)
+	c := contention.New(30)
 	for i := range b.N {
 		c.Learn(exactSample(1+i%30, 1.1))
 	}
--- a/internal/crowd/fit.go
+++ b/internal/contention/fit.go
@@ -1,4 +1,4 @@
-package crowd
+package contention
 
 import "math"
 
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"github.com/limpetdock/limpetdock/internal/crowd"
+	"github.com/limpetdock/limpetdock/internal/contention"
 	"github.com/limpetdock/limpetdock/internal/kind"
 )
 
@@ -46,7 +46,7 @@
 	adaptive      adaptiveLimit
 	// curve holds the samples for Limits.LearnedLimit. trials is the number of running
 	// requests that were admitted beyond the limit to measure a higher one.
-	curve   *crowd.Curve
+	curve   *contention.Curve
 	trials  int
 	drain   drainRate
 	start   slowStart
@@ -56,7 +56,7 @@
 // New returns a Gate that admits no requests until SetLimits is called. It begins with a
 // slow start, as it can't know how many requests the backend server already runs.
 func New() *Gate {
-	return &Gate{order: fifo{}, curve: crowd.New(0), start: slowStart{active: true, began: time.Now()}}
+	return &Gate{order: fifo{}, curve: contention.New(0), start: slowStart{active: true, began: time.Now()}}
 }
 
 // SetLimits applies new limits. Requests that already wait continue to wait.
@@ -70,7 +70,7 @@
 		g.adaptive.reset(l.Slots)
 	}
 	if l.Slots != g.limits.Slots {
-		g.curve = crowd.New(l.Slots)
+		g.curve = contention.New(l.Slots)
 	}
 	g.limits, g.order = l, orderOf(l.Order)
 	g.dispatch(time.Now())
@@ -155,7 +155,7 @@
 
 // RecordSample records how long the request in the slot took at the backend server, for
 // Limits.LearnedLimit. It sets the sample's level to the slot's concurrency.
-func (s Slot) RecordSample(sample crowd.Sample) {
+func (s Slot) RecordSample(sample contention.Sample) {
 	sample.Level = s.concurrency
 	s.gate.mu.Lock()
 	defer s.gate.mu.Unlock()
--- a/internal/mesh/guard/guard.go
+++ b/internal/mesh/guard/guard.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/limpetdock/limpetdock/internal/crowd"
+	"github.com/limpetdock/limpetdock/internal/contention"
 	"github.com/limpetdock/limpetdock/internal/decision"
 	"github.com/limpetdock/limpetdock/internal/gate"
 	"github.com/limpetdock/limpetdock/internal/kind"
@@ -223,7 +223,7 @@
 	if !served && !late {
 		return
 	}
-	slot.RecordSample(crowd.Sample{
+	slot.RecordSample(contention.Sample{
 		Class: s.class, ServiceTime: time.Duration(float64(s.backendTime) / s.slowdown.current), ReportedBaseTime: s.request.BaseServiceTime, Aborted: late,
 	})
 	if served {
