--- a/internal/attempt/handover.go
+++ b/internal/attempt/handover.go
@@ -205,7 +205,7 @@
 	k.current.Targets, k.current.Lifetime = h.Targets, ms(h.LifetimeMs)
 	k.past = nil
 	for _, e := range h.Past {
-		k.past = append(k.past, epoch{targets: e.Targets, until: now - ms(e.AgoMs)})
+		k.past = append(k.past, pastTargets{targets: e.Targets, until: now - ms(e.AgoMs)})
 	}
 	t.SetKeys(own, now)
 	k.past = append(k.past, past...)
--- a/internal/attempt/keys.go
+++ b/internal/attempt/keys.go
@@ -8,15 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A copy of a key may arrive later than its caller sent it. Each delay on its way is
-// bounded. Homes keep records, and wait after a start, longer by the sum.
+// A copy of a request with an idempotency key (key, for short) may arrive at the key's home,
+// the one target that accepts the key, later than its caller sent it. Each delay on its way
+// is bounded. A home keeps records longer by the sum of the bounds, and after its process
+// starts waits longer by it before accepting keys.
 const (
 	// MaxKeyPause is how long a node may have been paused with the copy in its socket's
 	// buffer; after a longer pause it refuses such copies.
 	MaxKeyPause = 5 * time.Second
 	// MaxKeyDelay is how long after its arrival a node may send it to the home.
 	MaxKeyDelay = 5 * time.Second
-	// keyWindow is how old the home's tick may be in it.
+	// keyWindow is how old the home's timestamp (tick) carried by the copy may be.
 	keyWindow = 5 * time.Second
 	keySlack  = MaxKeyPause + MaxKeyDelay + keyWindow
 	// minLifetime is the shortest lifetime used in these calculations: a confirmation by
@@ -56,15 +58,18 @@
 // enough to be sent again would have left a record here.
 type keyRules struct {
 	current KeyConfig
-	// horizon is the time since which no key's record has been dropped early.
+	// horizon is the time from which this table's records are complete. It may be in the
+	// future, while another process may still accept keys.
 	horizon time.Duration
 	// past lists the targets declared before, and until when.
-	past []epoch
-	// confirmedAt is when the platform last listed this VM under its address.
+	past []pastTargets
+	// confirmedAt is the start of the current confirmation's validity: when the platform last
+	// listed this VM under its address, or when the service was first set or last changed if
+	// that is later. ExpireConfirmation sets it back.
 	confirmedAt time.Duration
 	firstAddr   string
-	// listedAt is the same, but unlike confirmedAt it isn't preset at the start of a
-	// process.
+	// listedAt is when the platform last listed this VM under its address. Unlike confirmedAt
+	// it isn't preset at the start of a process.
 	listedAt  time.Duration
 	hasListed bool
 	// otherAddrAt is when the platform last listed this VM under another address.
@@ -78,19 +83,20 @@
 	// predecessor is the newest incarnation seen of this VM that is older than the own
 	// one.
 	predecessor uint64
-	// sealed is true once the keys have been sealed for a successor.
+	// sealed is true once the keys have been handed over to a successor; none is accepted.
 	sealed bool
 	// restored is true once a predecessor's table has been restored.
 	restored bool
 }
 
-type epoch struct {
+// pastTargets is a list of targets that was declared until a time.
+type pastTargets struct {
 	targets []string
 	until   time.Duration
 }
 
-// maxEpochs bounds the earlier target lists; with more, every key has to wait.
-const maxEpochs = 128
+// maxPastTargets bounds the earlier target lists; with more, every key has to wait.
+const maxPastTargets = 128
 
 // retention is how long a key's record is kept after its last change.
 func (k *keyRules) retention() time.Duration { return max(k.current.Lifetime, minLifetime) + keySlack }
@@ -100,8 +106,9 @@
 
 // replacementDelay is how long another process, which was the home until now and is
 // cut off, may continue to accept keys: confirmationTTL after the platform's last
-// confirmation, plus an allowance for the platform's own lag. What that process runs
-// in this time leaves no record here, so the history of this table begins after the
+// confirmation, plus an allowance for the platform's own lag. The allowance is the rest of
+// retention: half of it, or what exceeds minLifetime if that is less. What that process
+// runs in this time leaves no record here, so the history of this table begins after the
 // delay.
 func (k *keyRules) replacementDelay() time.Duration { return k.retention() }
 
@@ -121,17 +128,18 @@
 		// Records were dropped under the shorter lifetime.
 		k.horizon = max(k.horizon, now-before)
 	}
-	k.past = slices.DeleteFunc(k.past, func(e epoch) bool { return now-e.until > k.replacementDelay()+k.retention() })
+	k.past = slices.DeleteFunc(k.past, func(e pastTargets) bool { return now-e.until > k.replacementDelay()+k.retention() })
 	if slices.Equal(old.Targets, rules.Targets) {
 		return
 	}
-	k.past = append(k.past, epoch{targets: old.Targets, until: now})
-	if len(k.past) > maxEpochs {
+	k.past = append(k.past, pastTargets{targets: old.Targets, until: now})
+	if len(k.past) > maxPastTargets {
 		k.horizon, k.past = now+k.replacementDelay(), nil
 	}
 }
 
-// Confirm records that the platform has just listed this VM under an address. Another
+// Confirm records that the platform has just listed this VM under an address. Only the own
+// address confirms this process; another one is recorded as evidence against it. Another
 // address than this process's own means that the VM was replaced while this process
 // still runs, or that this process isn't listed yet: what the process at that address
 // runs leaves no record here. If the own address isn't known, the first listed one is
@@ -158,8 +166,8 @@
 	k.listedAt, k.hasListed = max(k.listedAt, now), true
 }
 
-// ExpireConfirmation discards the last Confirm, because time has passed that this
-// table's clock didn't count.
+// ExpireConfirmation discards the last Confirm, because the VM was suspended: time has
+// passed that this table's clock didn't count.
 func (t *Table) ExpireConfirmation() {
 	k := &t.keys
 	k.confirmedAt = -k.retention()
@@ -169,8 +177,9 @@
 // ConfirmationTTL is how long one Confirm is valid.
 func (t *Table) ConfirmationTTL() time.Duration { return t.keys.confirmationTTL() }
 
-// NoteIncarnation records that another incarnation of this VM has been seen. While a
-// newer one exists no keys are accepted: there must not be two homes.
+// NoteIncarnation records that another incarnation of this VM has been seen. Until
+// replacementDelay plus retention after a newer one was last seen, no keys are accepted:
+// there must not be two homes.
 func (t *Table) NoteIncarnation(incarnation uint64, now time.Duration) {
 	k := &t.keys
 	switch {
@@ -181,11 +190,14 @@
 	}
 }
 
+// accepts reports whether a request with the key may start here now.
 func (k *keyRules) accepts(id string, now time.Duration) bool {
 	v, _ := k.check(id, now)
 	return v == Start
 }
 
+// check returns Start if a request with the key may start here now, otherwise the reason why
+// not, and for TooEarly how long to wait.
 func (k *keyRules) check(id string, now time.Duration) (v Verdict, wait time.Duration) {
 	if k.sealed {
 		return HandedOver, 0
@@ -204,15 +216,16 @@
 		}
 	}
 	// A process that was replaced without noticing stops accepting keys within
-	// replacementDelay. Until then its replacement accepts none that may have run here.
+	// replacementDelay. Until then its replacement accepts none that may have run in this
+	// process.
 	if k.contested(now) || now-k.confirmedAt > k.confirmationTTL() {
 		return Unconfirmed, 0
 	}
 	return Start, 0
 }
 
-// contested reports whether another process of this VM's name may have run keys within
-// the time that copies can still arrive.
+// contested reports whether another process of this VM's name may have run requests
+// with keys within the time that copies can still arrive.
 func (k *keyRules) contested(now time.Duration) bool {
 	within := k.replacementDelay() + k.retention()
 	return k.hasNewer && now-k.newerSeenAt <= within || k.hasOtherAddr && now-k.otherAddrAt <= within
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -13,8 +13,8 @@
 	"github.com/limpetdock/limpetdock/internal/kind"
 )
 
-// unboundedQueue is the length of the queue if NoRefusal is set.
-const unboundedQueue = 10_000
+// maxQueueWithoutRefusal is the length of the queue if NoRefusal is set.
+const maxQueueWithoutRefusal = 10_000
 
 // Limits are the declared limits of a backend server and its queue.
 type Limits struct {
--- a/internal/gate/queue.go
+++ b/internal/gate/queue.go
@@ -8,7 +8,9 @@
 	"github.com/limpetdock/limpetdock/internal/kind"
 )
 
-// waiter is a request that waits for a slot.
+// waiter is a request that waits for a slot. Gate.queue holds the waiters with the deepest in
+// a call chain first, and those of one depth by arrival. Gate.order selects the next to run
+// among the deepest.
 type waiter struct {
 	rank Rank
 	// timeout is how long the request may wait, or noTimeout.
@@ -17,7 +19,8 @@
 	senderTimeout bool
 	// deadline is zero for none.
 	deadline time.Time
-	// startByObjective and startByDeadline are those of WaitLimits.
+	// startByObjective and startByDeadline are those of WaitLimits: the latest start that meets
+	// the latency objective, and the latest that meets the deadline.
 	startByObjective, startByDeadline time.Time
 	// result receives exactly one value.
 	result chan waitResult
@@ -60,7 +63,7 @@
 	if !w.senderTimeout {
 		w.timeout = g.queueTimeout(rank, ahead, now)
 	}
-	if refusal := g.makeRoom(w, ahead, now); refusal != nil {
+	if refusal := g.admitToQueue(w, ahead, now); refusal != nil {
 		g.recycle(w)
 		return nil, refusal
 	}
@@ -73,15 +76,16 @@
 	return w, nil
 }
 
-// makeRoom returns a refusal if the request may not wait. It evicts a lower-ranked
-// request from a full queue. The mutex is held.
-func (g *Gate) makeRoom(w *waiter, ahead int, now time.Time) *kind.Error {
+// admitToQueue returns a refusal if the request may not wait. It evicts a lower-ranked
+// request from a full queue. With NoRefusal it refuses only if no slots are declared or
+// maxQueueWithoutRefusal requests wait. The mutex is held.
+func (g *Gate) admitToQueue(w *waiter, ahead int, now time.Time) *kind.Error {
 	wait := g.expectedWait(now, ahead)
 	if g.limits.Slots == 0 {
 		return g.overloaded(wait, "no slots are declared for this backend server")
 	}
 	if g.limits.NoRefusal {
-		if len(g.queue) >= unboundedQueue {
+		if len(g.queue) >= maxQueueWithoutRefusal {
 			return g.overloaded(wait, "the backend server's queue is full")
 		}
 		return nil
@@ -148,7 +152,8 @@
 	return w
 }
 
-// wait waits for the result, or until w times out or ctx ends.
+// wait waits for the result, or until w times out, can no longer be served before its
+// deadline or is expected not to be (see willMissDeadline), or ctx ends.
 func (g *Gate) wait(ctx context.Context, w *waiter) (Slot, *kind.Error) {
 	// Copied now: once abandoned, the waiter may be reused for another request.
 	copied, timedOut := *w, false
@@ -178,7 +183,8 @@
 }
 
 // waitTimer fires when a waiter can no longer meet its latency objective, and from then on
-// at intervals until the waiter times out or can no longer be served before its deadline.
+// at intervals until end, when the waiter times out or can no longer be served before its
+// deadline. If the objective is unset or already missed, it fires only at end.
 type waitTimer struct {
 	*time.Timer
 	end time.Time
@@ -200,6 +206,7 @@
 }
 
 // next reports whether the waiter may continue to wait, and sets the timer again if so.
+// standingAfter also serves as the interval between its checks.
 func (t *waitTimer) next(now time.Time) bool {
 	if !now.Before(t.end) {
 		return false
@@ -208,11 +215,11 @@
 	return true
 }
 
-// willMissDeadline reports whether w, which has missed its latency objective, is expected not to
-// be served before its deadline either. Requests that can still meet theirs run before it
-// for as long as there are any, and a standing queue is expected to stand for as long
-// again. If it waited for its deadline, it would be refused too late to be served by
-// another target.
+// willMissDeadline reports whether w, which has missed its latency objective, is expected not
+// to be served before its deadline either. Requests that can still meet their objective run
+// before it for as long as there are any, and a queue that has lasted this long is expected to
+// last as long again. If it waited for its deadline, it would be refused too late to be served
+// by another target.
 func (g *Gate) willMissDeadline(w *waiter, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -282,8 +289,8 @@
 	s.gate.dispatch(time.Now())
 }
 
-// standing reports whether the queue hasn't been empty for so long that it is unlikely to
-// drain by itself. The mutex is held.
+// standing reports whether the queue has had waiters without a break for longer than
+// standingAfter, so that it is unlikely to drain by itself. The mutex is held.
 func (g *Gate) standing(now time.Time) bool {
 	return len(g.queue) > 0 && now.Sub(g.nonEmptySince) > standingAfter
 }
--- a/internal/mesh/entry/choose.go
+++ b/internal/mesh/entry/choose.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// assumedAnswerBytes is the size of an answer of a route without any answers yet.
+	// assumedAnswerBytes is the assumed answer size until a route has had an answer.
 	assumedAnswerBytes = 2 << 10
 	// framingBytes is what frames and TCP add to a request and its answer.
 	framingBytes = 600
@@ -35,8 +35,8 @@
 	jitter = 3 * time.Millisecond
 )
 
-// rttTo is the round-trip time to each distance on typical links between zones and regions.
-// Its exact values matter less than Prices.
+// rttTo is the round-trip time at each distance on typical links between zones and regions.
+// Its exact values matter less than Prices, the penalties in time per kilobyte transferred.
 var rttTo = [...]time.Duration{
 	place.SameVM: 0, place.SameZone: 300 * time.Microsecond,
 	place.SameRegion: 3 * time.Millisecond, place.OtherRegion: 16 * time.Millisecond,
@@ -49,7 +49,8 @@
 	// bytes transferred and for the risk of a late answer or a failure.
 	score time.Duration
 	// wait is the expected time in the queue: that of the forecast, or the wait with which the
-	// target refused this request if that is longer.
+	// target refused this request if that is longer. riskPenalty and lateProbability use only
+	// that of the forecast.
 	wait     time.Duration
 	forecast mesh.Forecast
 }
@@ -63,16 +64,17 @@
 	seen                         int
 }
 
-// averageWeight is the inverse weight of a new sample in the moving averages.
-const averageWeight = 16
+// maxAverageSamples is the number of samples from which the averages are moving averages, in
+// which a new sample has a weight of 1/maxAverageSamples. Up to it they are plain means.
+const maxAverageSamples = 16
 
 func (s *routeStats) add(bytes int, baseServiceTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seen++
-	weight := float64(min(s.seen, averageWeight))
-	s.answerBytes += (float64(bytes) - s.answerBytes) / weight
-	s.baseServiceTime += (float64(baseServiceTime) - s.baseServiceTime) / weight
+	divisor := float64(min(s.seen, maxAverageSamples))
+	s.answerBytes += (float64(bytes) - s.answerBytes) / divisor
+	s.baseServiceTime += (float64(baseServiceTime) - s.baseServiceTime) / divisor
 }
 
 func (s *routeStats) expected() (bytes float64, baseServiceTime time.Duration) {
@@ -97,7 +99,7 @@
 	list := make([]candidate, 0, len(all))
 	var avoided []candidate
 	for _, target := range all {
-		if t.tried(target) {
+		if t.excluded(target) {
 			continue
 		}
 		c, usable := t.evaluate(target, int(bytes), baseServiceTime)
@@ -115,16 +117,18 @@
 	return list
 }
 
-// tried reports whether the target must not get the request again, as it may have run it or
-// refused it for another reason than overload.
-func (t *transaction) tried(target *mesh.Target) bool {
+// excluded reports whether the target must not get the request again, as it may have run it or
+// refused it for another reason than overload. A target that refused it for its load isn't
+// excluded.
+func (t *transaction) excluded(target *mesh.Target) bool {
 	return slices.ContainsFunc(t.attempts, func(a attempt) bool {
 		return a.target.ID == target.ID && !refusedForLoad(a.kind)
 	})
 }
 
 // evaluate returns the target as a candidate, given the expected size of the answer and the
-// base service time, and reports whether the target is usable.
+// base service time, and reports whether the target is usable. For the target on this VM it
+// first updates target.Stat with the present load of the guard.
 func (t *transaction) evaluate(target *mesh.Target, bytes int, baseServiceTime time.Duration) (candidate, bool) {
 	now := t.entry.Now()
 	if target.Distance == place.SameVM {
@@ -145,11 +149,11 @@
 	return c, !f.Avoid && !f.Leaving
 }
 
-// riskPenalty returns the penalty for the probabilities that a request sent now is answered
-// late or not at all.
-func (t *transaction) riskPenalty(f mesh.Forecast, now time.Duration) time.Duration {
-	late := lateProbability(f, t.objective-now)
-	none := lateProbability(f, t.deadline-now)
+// riskPenalty returns the penalty for the probabilities that a request that reaches the target
+// at arrival is answered after its latency objective or after its deadline.
+func (t *transaction) riskPenalty(f mesh.Forecast, arrival time.Duration) time.Duration {
+	late := lateProbability(f, t.objective-arrival)
+	none := lateProbability(f, t.deadline-arrival)
 	return time.Duration(late*float64(latePenalty) + none*float64(failurePenalty-latePenalty))
 }
 
@@ -162,7 +166,7 @@
 	return distuv.LogNormal{Sigma: serviceTimeSigma}.Survival(float64(available) / float64(f.ExpectedServiceTime))
 }
 
-// of returns the penalty for transferring bytes to a distance.
+// of returns the penalty for transferring bytes over a distance.
 func (p Prices) of(d place.Distance, bytes int) time.Duration {
 	const kilobyte = 1000
 	switch d {
--- a/internal/mesh/guard/slowdown.go
+++ b/internal/mesh/guard/slowdown.go
@@ -22,14 +22,16 @@
 	defaultSustainedAfter = time.Second
 	sustainedMultiple     = 3
 	// maxReportGap is the longest gap between two reports for which a change is assumed
-	// to lie in the middle. An idle backend server isn't probed for seconds.
+	// to lie in the middle; after a longer gap, the change is assumed maxReportGap/2 before
+	// the second report. An idle backend server may go seconds without a probe.
 	maxReportGap = 2 * staleLoadAge
 )
 
 // slowdownTracker follows the slowdown of a backend server that shares its processor
-// with neighbours. The service time of a request is determined when it starts: one that
-// starts during a transient slowdown takes several times as long to its end, even if
-// the slowdown ends a moment later.
+// with neighbours, other processes on that processor. A slowdown is a factor on the
+// service time; 1 is normal. The service time of a request is determined when it starts:
+// one that starts during a transient slowdown takes several times as long to its end, even
+// if the slowdown ends a moment later.
 //
 // A slowdown that lasts, such as a cold start or a machine that has become slow, is the
 // sustained slowdown. Transient slowdowns come on top of it. Safe for concurrent use.
@@ -39,71 +41,73 @@
 	sustained float64
 	// warmAt is when the backend server's cold start ends.
 	warmAt time.Duration
-	// transient is true during a transient slowdown; since is when it began, or was first
-	// reported, and lowest the smallest slowdown reported since.
+	// transient is true during a transient slowdown, also after it has lasted for
+	// sustainedAfter until the next report; since is the estimate of when it began, at most
+	// maxReportGap/2 before it was first reported, and lowest the smallest slowdown reported
+	// since.
 	transient bool
 	since     time.Duration
 	lowest    float64
-	// reportedAt is when a slowdown was last reported.
-	reportedAt time.Duration
-	// durations are those of the last transient slowdowns, as a ring with the next index to
-	// write in next.
+	// slowdownReportedAt is when a slowdown was last reported.
+	slowdownReportedAt time.Duration
+	// durations are those of the last slowdowns that began as transient ones, including those
+	// that became sustained, as a ring with the next index to write in next.
 	durations []time.Duration
 	next      int
 }
 
 // setWarmAt sets when the backend server's cold start ends.
-func (p *slowdownTracker) setWarmAt(warmAt time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.warmAt = warmAt
+func (t *slowdownTracker) setWarmAt(warmAt time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.warmAt = warmAt
 }
 
 // report records a slowdown reported by the backend server. It reports whether a
 // transient slowdown began or ended.
-func (p *slowdownTracker) report(now time.Duration, slowdown float64) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	was := p.transient
-	p.updateSustained(now, slowdown)
+func (t *slowdownTracker) report(now time.Duration, slowdown float64) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	was := t.transient
+	t.updateSustained(now, slowdown)
 	// The change may have happened at any time since the last report.
-	changedAt := now - min(now-p.reportedAt, maxReportGap)/2
-	p.current, p.reportedAt = slowdown, now
-	is := slowdown >= transientFactor*p.sustained
+	changedAt := now - min(now-t.slowdownReportedAt, maxReportGap)/2
+	t.current, t.slowdownReportedAt = slowdown, now
+	is := slowdown >= transientFactor*t.sustained
 	switch {
 	case is && !was:
-		p.transient, p.since, p.lowest = true, changedAt, slowdown
+		t.transient, t.since, t.lowest = true, changedAt, slowdown
 	case is:
-		p.lowest = min(p.lowest, slowdown)
+		t.lowest = min(t.lowest, slowdown)
 	case was:
-		p.addDuration(changedAt - p.since)
-		p.transient = false
+		t.addDuration(changedAt - t.since)
+		t.transient = false
 	}
 	return is != was
 }
 
 // updateSustained updates the sustained slowdown. The mutex is held.
-func (p *slowdownTracker) updateSustained(now time.Duration, slowdown float64) {
-	cold := now < p.warmAt
+func (t *slowdownTracker) updateSustained(now time.Duration, slowdown float64) {
+	cold := now < t.warmAt
 	switch {
-	case p.sustained == 0 && cold:
+	case t.sustained == 0 && cold:
 		// The first report may fall into a transient slowdown; the next lower one
 		// corrects it.
-		p.sustained = max(slowdown, 1)
-	case p.sustained == 0:
-		p.sustained = 1
-	case slowdown < p.sustained:
-		p.sustained = max(slowdown, 1)
-	case p.transient && now-p.since >= p.sustainedAfter():
-		p.sustained = p.lowest
+		t.sustained = max(slowdown, 1)
+	case t.sustained == 0:
+		t.sustained = 1
+	case slowdown < t.sustained:
+		t.sustained = max(slowdown, 1)
+	case t.transient && now-t.since >= t.sustainedAfter():
+		t.sustained = t.lowest
 	}
 }
 
 // sustainedAfter returns the duration from which a slowdown counts as sustained. The
 // mutex is held.
-func (p *slowdownTracker) sustainedAfter() time.Duration {
+func (t *slowdownTracker) sustainedAfter() time.Duration {
 	longest := time.Duration(0)
-	for _, duration := range p.durations {
+	for _, duration := range t.durations {
 		longest = max(longest, duration)
 	}
 	if longest == 0 {
@@ -112,36 +116,37 @@
 	return sustainedMultiple * longest
 }
 
-// addDuration records the duration of a transient slowdown that has ended. The mutex is
-// held.
-func (p *slowdownTracker) addDuration(duration time.Duration) {
-	if len(p.durations) < maxDurations {
-		p.durations = append(p.durations, duration)
+// addDuration records the duration of a slowdown that began as a transient one and has
+// ended or become the sustained one. The mutex is held.
+func (t *slowdownTracker) addDuration(duration time.Duration) {
+	if len(t.durations) < maxDurations {
+		t.durations = append(t.durations, duration)
 		return
 	}
-	p.durations[p.next] = duration
-	p.next = (p.next + 1) % maxDurations
+	t.durations[t.next] = duration
+	t.next = (t.next + 1) % maxDurations
 }
 
 // expectedRemaining returns how much longer a transient slowdown is expected to last: the
-// mean remainder of the observed ones that lasted longer, but at most their mean duration.
-// If few lasted longer, the slowdown is expected to continue for that mean duration.
-// Before any was observed, it is expected to last as long again, so that a request waits
-// no longer than it would lose by starting at once. The mutex is held.
-func (p *slowdownTracker) expectedRemaining(elapsed time.Duration) time.Duration {
-	if len(p.durations) == 0 {
+// mean remainder of the recorded ones that lasted longer, but at most the mean of all
+// recorded durations. If few lasted longer, the slowdown is expected to continue for that
+// mean. Before any was recorded, it is expected to last as long again, so that a request,
+// which waits only if the delay of starting at once is longer (see wait), waits no longer
+// than it would lose by starting at once. The mutex is held.
+func (t *slowdownTracker) expectedRemaining(elapsed time.Duration) time.Duration {
+	if len(t.durations) == 0 {
 		return elapsed
 	}
 	const minSamples = 4
 	var total, remainder, longer time.Duration
-	for _, duration := range p.durations {
+	for _, duration := range t.durations {
 		total += duration
 		if duration > elapsed {
 			remainder += duration - elapsed
 			longer++
 		}
 	}
-	mean := total / time.Duration(len(p.durations))
+	mean := total / time.Duration(len(t.durations))
 	if longer < minSamples {
 		return mean
 	}
@@ -159,16 +164,16 @@
 }
 
 // state returns the slowdown at now.
-func (p *slowdownTracker) state(now time.Duration) slowdownState {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	s := slowdownState{current: max(p.current, 1), sustained: max(p.sustained, 1)}
-	if !p.transient {
+func (t *slowdownTracker) state(now time.Duration) slowdownState {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := slowdownState{current: max(t.current, 1), sustained: max(t.sustained, 1)}
+	if !t.transient {
 		s.sustained = s.current
 		return s
 	}
-	if elapsed := now - p.since; elapsed < p.sustainedAfter() {
-		s.recoversIn = max(p.expectedRemaining(elapsed), time.Millisecond)
+	if elapsed := now - t.since; elapsed < t.sustainedAfter() {
+		s.recoversIn = max(t.expectedRemaining(elapsed), time.Millisecond)
 		return s
 	}
 	s.sustained = s.current
@@ -177,9 +182,9 @@
 
 // wait returns how long a request with the given base service time should wait for the
 // end of the transient slowdown, and how much longer it takes if it starts now. The wait is
-// 0 if starting now delays the request no more than waiting.
-func (p *slowdownTracker) wait(now, baseService time.Duration) (recoversIn, delay time.Duration) {
-	s := p.state(now)
+// 0, and so not worthwhile, if starting now delays the request no more than waiting.
+func (t *slowdownTracker) wait(now, baseService time.Duration) (wait, delay time.Duration) {
+	s := t.state(now)
 	delay = time.Duration(float64(baseService) * (s.current - s.sustained))
 	if delay <= s.recoversIn {
 		return 0, delay
@@ -199,31 +204,32 @@
 )
 
 // awaitRecovery waits until a transient slowdown has ended, if that takes less time than
-// the request would lose by starting at once. It refuses a request whose queue timeout is
-// shorter than both: the queue timeout is the added latency of the next best target,
-// which is unlikely to be slow at the same moment.
+// the request would lose by starting at once. It refuses the request if what is left of its
+// queue timeout is shorter than the wait and than the delay: senders set the queue timeout to
+// the added latency of their next best target, which is unlikely to be slow at the same
+// moment.
 func (g *Guard) awaitRecovery(ctx context.Context, s *requestState) *kind.Error {
 	for {
 		g.refreshLoad(ctx)
-		recoversIn, delay := g.slowdown.wait(g.Now(), s.baseService)
+		wait, delay := g.slowdown.wait(g.Now(), s.baseService)
 		timeout := s.request.QueueTimeout - (g.Now() - s.start)
-		if recoversIn == 0 && delay <= max(timeout, 0) {
+		if wait == 0 && delay <= max(timeout, 0) {
 			return nil
 		}
-		if recoversIn == 0 || recoversIn > timeout {
+		if wait == 0 || wait > timeout {
 			e := kind.New(kind.Overloaded, "the backend server is slowed for a moment")
-			e.Wait = cmp.Or(recoversIn, delay)
+			e.Wait = cmp.Or(wait, delay)
 			e.RetryAfter = e.Wait
 			return e
 		}
-		if !clock.Sleep(ctx, min(recoveryCheckInterval, recoversIn)) {
+		if !clock.Sleep(ctx, min(recoveryCheckInterval, wait)) {
 			return kind.New(kind.DeadlineNotRun, "the deadline passed while the backend server was slowed")
 		}
 	}
 }
 
 // refreshLoad probes the backend server if the last load report is too old. A backend
-// server that never reported a slowdown isn't probed.
+// server that never reported a slowdown factor, not even 1, isn't probed.
 func (g *Guard) refreshLoad(ctx context.Context) {
 	if g.Now()-time.Duration(g.reportedAt.Load()) < freshLoadAge || !g.slowdown.reported() {
 		return
@@ -233,9 +239,9 @@
 	g.probe(ctx)
 }
 
-// reported reports whether the backend server ever reported a slowdown.
-func (p *slowdownTracker) reported() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.sustained != 0
+// reported reports whether the backend server ever reported a slowdown factor.
+func (t *slowdownTracker) reported() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.sustained != 0
 }
--- a/internal/mesh/guard/slowdown_test.go
+++ b/internal/mesh/guard/slowdown_test.go
@@ -40,14 +40,14 @@
 	const requests = 4000
 	rnd := rand.New(rand.NewPCG(7, 7))
 	n := newNeighbours(rnd, 10_000, 0.25)
-	p := &slowdownTracker{}
+	tracker := &slowdownTracker{}
 	startedSlow, waited := 0, time.Duration(0)
 	for i := range requests {
 		arrived := time.Duration(i)*150*time.Millisecond + rand.N(50*time.Millisecond)
 		now := arrived
 		for {
-			p.report(now, n.slowdown(now))
-			if recoversIn, _ := p.wait(now, baseService); recoversIn == 0 {
+			tracker.report(now, n.slowdown(now))
+			if wait, _ := tracker.wait(now, baseService); wait == 0 {
 				break
 			}
 			now += recoveryCheckInterval
@@ -65,19 +65,19 @@
 // A backend server has become slow permanently. Requests must not wait for its recovery,
 // and entries must receive a sustained slowdown rather than an expected recovery.
 func TestSustainedSlowdownIsNotWaitedFor(t *testing.T) {
-	p := &slowdownTracker{}
-	p.report(0, 1)
+	tracker := &slowdownTracker{}
+	tracker.report(0, 1)
 	for at := time.Duration(0); at < 10*time.Second; at += 50 * time.Millisecond {
-		p.report(at, factor)
-		s := p.state(at)
+		tracker.report(at, factor)
+		s := tracker.state(at)
 		require.InDelta(t, factor, s.current, 0)
 		if at >= defaultSustainedAfter {
 			require.Zero(t, s.recoversIn)
 			require.InDelta(t, factor, s.sustained, 0)
 		}
 	}
-	p.report(10*time.Second, 1)
-	s := p.state(10 * time.Second)
+	tracker.report(10*time.Second, 1)
+	s := tracker.state(10 * time.Second)
 	require.InDelta(t, 1, s.current, 0)
 	require.Zero(t, s.recoversIn)
 }
@@ -86,23 +86,23 @@
 // one long slowdown. Before any slowdown was observed, one is expected to last as long again;
 // afterwards never longer than the longest observed one.
 func TestExpectedRecoveryIsBoundedByObservedDurations(t *testing.T) {
-	p := &slowdownTracker{}
-	p.report(0, 1)
+	tracker := &slowdownTracker{}
+	tracker.report(0, 1)
 	for at := time.Millisecond; at < defaultSustainedAfter; at += 10 * time.Millisecond {
-		p.report(at, factor)
-		s := p.state(at)
+		tracker.report(at, factor)
+		s := tracker.state(at)
 		require.Positive(t, s.recoversIn)
 		require.LessOrEqual(t, s.recoversIn, max(at, time.Millisecond))
 	}
-	p = &slowdownTracker{}
+	tracker = &slowdownTracker{}
 	for n := range 8 {
-		p.report(time.Duration(2*n)*period, 1)
-		p.report(time.Duration(2*n+1)*period, factor)
+		tracker.report(time.Duration(2*n)*period, 1)
+		tracker.report(time.Duration(2*n+1)*period, factor)
 	}
-	p.report(16*period, 1)
+	tracker.report(16*period, 1)
 	for elapsed := time.Duration(0); elapsed < period; elapsed += 10 * time.Millisecond {
-		p.report(17*period+elapsed, factor)
-		require.LessOrEqual(t, p.state(17*period+elapsed).recoversIn, period)
+		tracker.report(17*period+elapsed, factor)
+		require.LessOrEqual(t, tracker.state(17*period+elapsed).recoversIn, period)
 	}
 }
 
@@ -111,7 +111,7 @@
 // once in long ones, where waiting would delay it by more.
 func TestDurationsOfTransientSlowdownsAreLearned(t *testing.T) {
 	for duration, waits := range map[time.Duration]bool{20 * time.Millisecond: true, 250 * time.Millisecond: true, 2 * time.Second: false} {
-		p := &slowdownTracker{}
+		tracker := &slowdownTracker{}
 		at := time.Duration(0)
 		step := duration / 20
 		for n := range 20 * 4 * 20 {
@@ -119,15 +119,15 @@
 			if n/20%4 == 3 {
 				slowdown = factor
 			}
-			p.report(at, slowdown)
+			tracker.report(at, slowdown)
 			at += step
 		}
-		p.report(at, 1)
+		tracker.report(at, 1)
 		at += step
-		p.report(at, factor)
-		recoversIn, _ := p.wait(at, baseService)
-		require.Equal(t, waits, recoversIn > 0, duration)
-		require.InDelta(t, float64(duration), float64(p.state(at).recoversIn), 0.1*float64(duration))
+		tracker.report(at, factor)
+		wait, _ := tracker.wait(at, baseService)
+		require.Equal(t, waits, wait > 0, duration)
+		require.InDelta(t, float64(duration), float64(tracker.state(at).recoversIn), 0.1*float64(duration))
 	}
 }
 
@@ -136,21 +136,21 @@
 // request would wait, or be refused, for up to a second; only the slowdowns on top of
 // it may be waited for.
 func TestColdStartIsNotATransientSlowdown(t *testing.T) {
-	p := &slowdownTracker{}
-	p.setWarmAt(3 * time.Second)
-	p.report(0, 2)
+	tracker := &slowdownTracker{}
+	tracker.setWarmAt(3 * time.Second)
+	tracker.report(0, 2)
 	waits := func(now time.Duration) bool {
-		recoversIn, _ := p.wait(now, baseService)
-		return recoversIn > 0
+		wait, _ := tracker.wait(now, baseService)
+		return wait > 0
 	}
 	require.False(t, waits(0))
-	p.report(period, 8)
-	require.InDelta(t, 2, p.state(period+10*time.Millisecond).sustained, 0)
+	tracker.report(period, 8)
+	require.InDelta(t, 2, tracker.state(period+10*time.Millisecond).sustained, 0)
 	require.True(t, waits(period+10*time.Millisecond))
-	p.report(2*period, 2)
+	tracker.report(2*period, 2)
 	require.False(t, waits(2*period))
-	p.report(3*time.Second, 1)
-	require.InDelta(t, 1, p.state(3*time.Second).current, 0)
-	p.report(4*time.Second, 2)
-	require.Positive(t, p.state(4*time.Second+time.Millisecond).recoversIn, "after the cold start it is transient")
+	tracker.report(3*time.Second, 1)
+	require.InDelta(t, 1, tracker.state(3*time.Second).current, 0)
+	tracker.report(4*time.Second, 2)
+	require.Positive(t, tracker.state(4*time.Second+time.Millisecond).recoversIn, "after the cold start it is transient")
 }
