--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -65,9 +65,9 @@
 	l.put(slog.LevelInfo, message, pairs)
 }
 
-// Info logs a change of the node's state at level INFO. Such changes are few and therefore
+// Event logs a change of the node's state at level INFO. Such changes are few and therefore
 // limited only by the queue.
-func (l *Log) Info(message string, pairs ...any) {
+func (l *Log) Event(message string, pairs ...any) {
 	if l != nil {
 		l.put(slog.LevelInfo, message, pairs)
 	}
--- a/internal/mesh/directory/loop.go
+++ b/internal/mesh/directory/loop.go
@@ -46,27 +46,27 @@
 
 func (e ConfigRead) apply(l *Loop, _ time.Duration) {
 	if l.state.Configure(e.Config, e.Revision) {
-		l.log.Info("configuration in force", "version", e.Config.Version, "routes", len(e.Config.Routes()))
+		l.log.Event("configuration in force", "version", e.Config.Version, "routes", len(e.Config.Routes()))
 		return
 	}
-	l.log.Info("configuration ignored: not newer than the one in force", "version", e.Config.Version)
+	l.log.Event("configuration ignored: not newer than the one in force", "version", e.Config.Version)
 }
 
 func (e TargetsRead) apply(l *Loop, now time.Duration) {
 	l.state.Replace(now, e.Revision, e.Targets)
-	l.log.Info("targets read", "revision", e.Revision, "targets", len(e.Targets))
+	l.log.Event("targets read", "revision", e.Revision, "targets", len(e.Targets))
 }
 
 func (e TargetChanged) apply(l *Loop, now time.Duration) {
 	r := e.Registration
 	l.state.Put(now, r)
-	l.log.Info("target changed", "target", r.ID, "service", r.Service, "address", r.Addr, "draining", r.State == mesh.Draining, "revision", r.Revision)
+	l.log.Event("target changed", "target", r.ID, "service", r.Service, "address", r.Addr, "draining", r.State == mesh.Draining, "revision", r.Revision)
 }
 
 func (e TargetRemoved) apply(l *Loop, now time.Duration) {
 	inGrace := l.state.inGracePeriod(now)
 	l.state.Remove(now, e.Revision, e.ID)
-	l.log.Info("target's registration ended", "target", e.ID, "revision", e.Revision, "store_was_away", inGrace)
+	l.log.Event("target's registration ended", "target", e.ID, "revision", e.Revision, "store_was_away", inGrace)
 }
 
 func (e StoreUnavailable) apply(l *Loop, now time.Duration) {
@@ -77,7 +77,7 @@
 
 func (e StoreRecovered) apply(l *Loop, now time.Duration) {
 	if l.state.MarkAvailable(now) {
-		l.log.Info("store regained")
+		l.log.Event("store regained")
 	}
 }
 
--- a/internal/mesh/node/node.go
+++ b/internal/mesh/node/node.go
@@ -176,7 +176,7 @@
 			}
 			p.serve(ctx, listeners)
 			h := p.Settings.Here
-			p.Log.Info("started", "vm", h.VM, "zone", h.Zone, "region", h.Region, "service", h.Service, "callers", p.Settings.Callers)
+			p.Log.Event("started", "vm", h.VM, "zone", h.Zone, "region", h.Region, "service", h.Service, "callers", p.Settings.Callers)
 			return nil
 		},
 		OnStop: func(context.Context) error {
--- a/internal/mesh/node/reload.go
+++ b/internal/mesh/node/reload.go
@@ -72,7 +72,7 @@
 	}
 	if bytes.Equal(content, w.content) {
 		if signalled {
-			w.log.Info("settings unchanged")
+			w.log.Event("settings unchanged")
 		}
 		return
 	}
@@ -87,6 +87,6 @@
 	restart := next.Here != w.current.Here || next.Callers != w.current.Callers || next.Peers != w.current.Peers ||
 		next.Backend != w.current.Backend || next.Store != w.current.Store
 	w.current.Tunable = next.Tunable
-	w.log.Info("settings reloaded", "fill", next.Tunable.Fill, "zone_price", next.Tunable.Prices.ZonePerKB.String(),
+	w.log.Event("settings reloaded", "fill", next.Tunable.Fill, "zone_price", next.Tunable.Prices.ZonePerKB.String(),
 		"region_price", next.Tunable.Prices.RegionPerKB.String(), "other_changes_need_a_restart", restart)
 }
--- a/internal/mesh/node/stop.go
+++ b/internal/mesh/node/stop.go
@@ -25,7 +25,7 @@
 // end first, for as long as the grace lasts. Requests that could outlast it are refused.
 func (p *components) stop() {
 	began := time.Now()
-	p.Log.Info("stopping", "active", p.Front.Active(), "guard_active", p.Guard.Active())
+	p.Log.Event("stopping", "active", p.Front.Active(), "guard_active", p.Guard.Active())
 	p.Admin.stopping.Store(true)
 	guardTimer := time.AfterFunc(guardStopDelay, p.Guard.Stop)
 	defer guardTimer.Stop()
@@ -39,7 +39,7 @@
 			break
 		}
 	}
-	p.Log.Info("stopped", "active", p.Front.Active(), "guard_active", p.Guard.Active(), "took_ms", time.Since(began).Milliseconds())
+	p.Log.Event("stopped", "active", p.Front.Active(), "guard_active", p.Guard.Active(), "took_ms", time.Since(began).Milliseconds())
 	p.Log.Flush(flushTimeout)
 	p.Front.Close()
 	p.Peers.Close()
--- a/internal/mesh/node/store_calls.go
+++ b/internal/mesh/node/store_calls.go
@@ -79,6 +79,6 @@
 	case c.Err != nil:
 		s.log.Warn("call to the store failed", append(fields, "error", c.Err.Error())...)
 	case c.Bytes >= largeAnswerBytes:
-		s.log.Info("large answer of the store", fields...)
+		s.log.Event("large answer of the store", fields...)
 	}
 }
--- a/internal/mesh/reader/bootstrap.go
+++ b/internal/mesh/reader/bootstrap.go
@@ -76,7 +76,7 @@
 	if f.store.Revision() == 0 {
 		return false
 	}
-	f.log.Info("started from what another node knows", "node", addr, "revision", f.store.Revision())
+	f.log.Event("started from what another node knows", "node", addr, "revision", f.store.Revision())
 	return true
 }
 
--- a/internal/mesh/reader/follower.go
+++ b/internal/mesh/reader/follower.go
@@ -129,7 +129,7 @@
 	f.clearAnswered()
 	q := peer.StateQuery{After: f.store.Revision()}
 	if err := f.asker.Ask(u.addr, q); err != nil {
-		f.log.Info("cannot ask another node for its update", "node", u.addr, "error", err.Error())
+		f.log.Event("cannot ask another node for its update", "node", u.addr, "error", err.Error())
 	}
 }
 
@@ -142,7 +142,7 @@
 }
 
 func (f *Follower) refreshFromStore(u update) {
-	f.log.Info("another node has newer news, asking the store", "node", u.addr, "revision", u.revision, "known", f.store.Revision())
+	f.log.Event("another node has newer news, asking the store", "node", u.addr, "revision", u.revision, "known", f.store.Revision())
 	f.store.Refresh(u.revision)
 }
 
