--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -37,13 +37,13 @@
 	SetLeaving(leaving bool)
 	SetView(v *pick.View)
 	Seal(m *wire.Seal) *wire.Sealed
-	// Probed returns the reply to a peer's probe, or nil if the budget is exceeded.
+	// AnswerProbe returns the reply to a peer's probe, or nil if the budget is exceeded.
 	AnswerProbe(from string) *wire.Load
-	// Listed reports the address of the own VM in the platform's list, and Heard the
+	// ConfirmListed reports the own VM's address in the platform's list, HandleMembers the
 	// member updates received from a peer.
 	ConfirmListed(addr string, at time.Duration)
 	HandleMembers(updates []wire.Member)
-	// KeysToHand, SealKeys, WantsKeys and TakeKeys transfer the key table from one
+	// HandoverSize, SealKeys, NeedsKeys and RestoreKeys transfer the key table from one
 	// process of a VM to the next.
 	HandoverSize() (bytes int, hold time.Duration, ok bool)
 	SealKeys() (*attempt.KeyTable, bool)
--- a/internal/guard/handover.go
+++ b/internal/guard/handover.go
@@ -6,7 +6,7 @@
 	"github.com/limpetdock/limpetdock/internal/attempt"
 )
 
-// KeysToHand returns the largest size of the key table in bytes and how long a peer
+// HandoverSize returns the largest size of the key table in bytes and how long a peer
 // may store it. ok is false if this guard isn't certain to be the home.
 func (g *Guard) HandoverSize() (bytes int, hold time.Duration, ok bool) {
 	g.mu.Lock()
@@ -28,14 +28,14 @@
 	return g.attempts.SealKeys(g.now())
 }
 
-// WantsKeys reports whether the predecessor's table can still be used here.
+// NeedsKeys reports whether the predecessor's table can still be used here.
 func (g *Guard) NeedsKeys() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.confirmedRecently() && g.attempts.NeedsKeys(g.now())
 }
 
-// TakeKeys adds the predecessor's table to the guard's own and reports whether it
+// RestoreKeys adds the predecessor's table to the guard's own and reports whether it
 // was accepted.
 func (g *Guard) RestoreKeys(t *attempt.KeyTable) bool {
 	g.mu.Lock()
--- a/internal/guard/load.go
+++ b/internal/guard/load.go
@@ -96,7 +96,7 @@
 	return gate.Rank{Class: class, Depth: max(depth-1, 0)}
 }
 
-// Probed returns the answer to a probe of the node on a VM, or nil if the budget
+// AnswerProbe returns the answer to a probe of the node on a VM, or nil if the budget
 // doesn't allow it. The node that asked then continues without it.
 func (g *Guard) AnswerProbe(from string) *wire.Load {
 	b, a := g.reporter.budget.Load(), g.reporter.readers.Load()
--- a/internal/guard/records.go
+++ b/internal/guard/records.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Listed records that the platform listed this VM under an address at a time
+// ConfirmListed records that the platform listed this VM under an address at a time
 // since the node's start. The same listing is reported on every tick; only a newer one
 // or one with another address has an effect.
 func (g *Guard) ConfirmListed(addr string, at time.Duration) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Heard processes the member list of an update. A newer incarnation of the own
+// HandleMembers processes the member list of an update. A newer incarnation of the own
 // VM means that this process has been replaced and is still running beside its
 // replacement.
 func (g *Guard) HandleMembers(members []wire.Member) {
